--- a/src/gateway/grants/createGrants.ts
+++ b/src/gateway/grants/createGrants.ts
@@ -6,7 +6,7 @@
 import { GrantExchange } from "./grantExchange.js";
 import { GrantOwner, type GrantOwnerOptions } from "./grantOwner.js";
 
-/** What a router's part in granting is put together from. */
+/** Dependencies of {@link createGrants}. */
 export interface GrantParts extends GrantOwnerOptions {
     readonly ownId: string;
     readonly peers: Pick<PeerView, "routers">;
@@ -15,13 +15,13 @@
     readonly setTimer: SetTimer;
 }
 
-/** Both sides of a router: it asks owners for grants, and decides as the owner of some engines. */
+/** Both roles of a router: it requests grants from engine owners, and decides on grants for the engines that it owns. */
 export interface Grants {
     readonly client: GrantClient;
     readonly exchange: GrantExchange;
 }
 
-/** Puts a router's part in granting together. */
+/** Creates the grant client, the grant owner and the exchange that dispatches messages to them. */
 export function createGrants(parts: GrantParts): Grants {
     const { ownId, peers, transport, clock, setTimer } = parts;
     const owner = new GrantOwner(parts);
--- a/src/gateway/grants/grantClient.ts
+++ b/src/gateway/grants/grantClient.ts
@@ -9,41 +9,44 @@
 import type { GrantMessage, GrantProgress, GrantReply, GrantRequest } from "./grantMessage.js";
 import type { GrantOwner } from "./grantOwner.js";
 
-/** What a prompt is to be granted. */
+/** A prompt for which a grant is requested, and the limits that apply to it. */
 export interface GrantDemand {
     readonly target: Target;
     readonly head: RequestHead;
+    /** Prompt tokens that the engine copies from another engine. */
     readonly copiedTokens: number;
+    /** Tokens that the request is expected to generate. */
     readonly outputTokens: number;
     /** The request's client account; undefined on public routes. */
     readonly account: string | undefined;
-    /** What the request counts against its account's share. */
+    /** Tokens that are charged against the account's share. */
     readonly chargedTokens: number;
     readonly bounds: Pick<PromptBounds, "mostWaitMs" | "mostUse">;
+    /** Window over which the engine's limit applies; milliseconds. */
     readonly spanMs: number;
 }
 
-/** A granted send, whose progress goes to the engine's owner. */
+/** A granted send. Its progress is reported to the engine's owner. */
 export interface Grant {
-    /** Part of the engine's reading time that was given away with it. */
+    /** Fraction of the engine's prefill time in the window that is granted, this send included. */
     readonly use: number;
     report(progress: GrantProgress): void;
 }
 
-/** How a demand was decided. */
+/** Result of a request for a grant. */
 export type GrantOutcome =
     | { readonly kind: "granted"; readonly grant: Grant; readonly reply: GrantReply }
     | { readonly kind: "denied"; readonly reply: GrantReply }
-    /** No owner answered in time, or it does not know the target. */
+    /** No owner replied in time, or the owner has no record of the target. */
     | { readonly kind: "unanswered" };
 
 /** Sends messages to other routers. */
 export interface GrantTransport {
-    /** False: the router's address is not known. */
+    /** Returns false if the router's address is not known. */
     send(routerId: string, message: GrantMessage): boolean;
 }
 
-/** What a {@link GrantClient} needs. */
+/** Dependencies of a {@link GrantClient}. */
 export interface GrantClientOptions {
     readonly ownId: string;
     readonly incarnation: number;
@@ -62,19 +65,19 @@
 }
 
 /**
- * An owner that has not answered by then is slow, cut off or gone. A round trip takes a few milliseconds; the rest covers a
- * pause of the owner's event loop, and is a small part of usual objectives.
+ * Time-out of a grant request. An owner that has not replied by then is slow, unreachable or stopped. A round trip takes a few
+ * milliseconds; the rest allows for a pause of the owner's event loop, and is a small part of usual latency objectives.
  */
-const answerTimeoutMs = 40;
+const replyTimeoutMs = 40;
 
-/** Asks the owners of engines for grants. */
+/** Requests grants from the owners of engines. */
 export class GrantClient implements Disposable {
     private readonly pending = new Map<number, PendingDemand>();
     private lastGrantId = 0;
 
     public constructor(private readonly options: GrantClientOptions) {}
 
-    /** Asks the engine's owner; the outcome always comes. */
+    /** Requests a grant from the engine's owner. Calls `handleOutcome` exactly once unless the client is disposed first. */
     public submit(demand: GrantDemand, handleOutcome: (outcome: GrantOutcome) => void): void {
         const { ownId, owners, ownBooks, transport, clock, setTimer } = this.options;
         const request = this.createRequest(demand, false);
@@ -84,7 +87,7 @@
         } else if (ownerId === undefined || !transport.send(ownerId, request)) {
             handleOutcome({ kind: "unanswered" });
         } else {
-            const timer = setTimer(answerTimeoutMs, () => this.handleSilence(request.grantId));
+            const timer = setTimer(replyTimeoutMs, () => this.handleTimeout(request.grantId));
             this.pending.set(request.grantId, {
                 ownerId,
                 targetHash: request.targetHash,
@@ -94,7 +97,7 @@
         }
     }
 
-    /** Books a send that does not depend on the owner's answer, such as one to a second engine. */
+    /** Records a send that does not depend on the owner's decision, such as one to a second engine. Undefined: the owner can't be reached. */
     public record(demand: GrantDemand): Grant | undefined {
         const { ownId, owners, ownBooks, transport, clock } = this.options;
         const request = this.createRequest(demand, true);
@@ -125,7 +128,7 @@
         this.pending.clear();
     }
 
-    private handleSilence(grantId: number): void {
+    private handleTimeout(grantId: number): void {
         const pending = this.pending.get(grantId);
         if (pending === undefined) {
             return;
@@ -133,7 +136,7 @@
         const { owners, clock } = this.options;
         this.pending.delete(grantId);
         owners.recordSilence(pending.ownerId, clock.nowMs());
-        // Granted after all by a slow owner, it would hold up others there.
+        // A slow owner may still grant the request, which would take capacity from other requests until the grant expires.
         this.createGrant({ grantId, targetHash: pending.targetHash }, pending.ownerId, 0).report("not-run");
         pending.handleOutcome({ kind: "unanswered" });
     }
--- a/src/gateway/grants/grantExchange.ts
+++ b/src/gateway/grants/grantExchange.ts
@@ -2,7 +2,7 @@
 import type { GrantMessage } from "./grantMessage.js";
 import type { GrantOwner } from "./grantOwner.js";
 
-/** Routes messages about grants to the side of this router that they concern. */
+/** Dispatches messages about grants: replies to the client, requests and reports to the owner. */
 export class GrantExchange {
     public constructor(
         private readonly client: GrantClient,
@@ -10,7 +10,7 @@
         private readonly transport: GrantTransport,
     ) {}
 
-    /** `senderId`: a router that this one knows. */
+    /** `senderId`: id of a known router. */
     public handleMessage(senderId: string, message: GrantMessage): void {
         if (message.kind === "reply") {
             this.client.applyReply(senderId, message);
--- a/src/gateway/grants/grantMessage.ts
+++ b/src/gateway/grants/grantMessage.ts
@@ -9,60 +9,60 @@
     public readonly code = "grant-message-invalid";
 }
 
-/** A router asks the owner of an engine whether it may send a prompt there. */
+/** Asks the owner of an engine whether a prompt may be sent there. */
 export interface GrantRequest {
     readonly kind: "request";
     /** Unique among the sender's grants. */
     readonly grantId: number;
-    /** The sender's start; grants of an earlier one are over. */
+    /** When the sender started; milliseconds since the epoch. Distinguishes its grants from those of an earlier start. */
     readonly incarnation: number;
     /** 32-bit hash of the target's id. */
     readonly targetHash: number;
-    /** Shared parts of the prompt, in its order. */
+    /** Shared parts of the prompt, in prompt order. */
     readonly sharedParts: readonly PromptPart[];
     /** Tokens of the prompt that are not in shared parts. */
     readonly ownTokens: number;
-    /** Tokens that the engine copies from another one. */
+    /** Prompt tokens that the engine copies from another engine. */
     readonly copiedTokens: number;
     /** Tokens that the request is expected to generate. */
     readonly outputTokens: number;
     /** 32-bit hash of the client account's name; 0 without one. */
     readonly accountHash: number;
-    /** What the request counts against its account's share. */
+    /** Tokens that are charged against the account's share. */
     readonly chargedTokens: number;
-    /** Longest wait behind others; milliseconds. */
+    /** Maximum time to wait for prompts queued before this one; milliseconds. */
     readonly mostWaitMs: number;
-    /** Part of the engine's limit that may be in use. */
+    /** Maximum fraction of the engine's limit that may be in use; above 1 it may exceed the limit. */
     readonly mostUse: number;
-    /** Span of the limit; milliseconds. */
+    /** Window over which the limit applies; milliseconds, at least 1. */
     readonly spanMs: number;
-    /** The request is sent whatever the answer says, so that it is booked in any case. */
+    /** Whether the prompt is sent regardless of the owner's decision, so that the owner records it in any case. */
     readonly isBinding: boolean;
 }
 
-/** The owner's answer. */
+/** The owner's reply. */
 export interface GrantReply {
     readonly kind: "reply";
     readonly grantId: number;
-    /** False while the owner does not know the target, so that it can't decide. */
+    /** Whether the owner has a record of the target. Without one it can't decide. */
     readonly isKnown: boolean;
     readonly granted: boolean;
-    /** Prompt tokens that the engine has to read for the request. */
+    /** Prompt tokens that the engine has to prefill for the request. */
     readonly newTokens: number;
-    /** Prompt tokens that wait there before it. */
+    /** Prompt tokens queued at the engine before the request. */
     readonly aheadTokens: number;
-    /** Part of the engine's reading time that is given away. */
+    /** Fraction of the engine's prefill time in the window that is granted. */
     readonly use: number;
-    /** Part of the limit that the request might use: what it asked for, or less where its account has had much at the engine. */
+    /** Fraction of the limit that the request may use: that of the grant request, or less if the engine has already served its account much. */
     readonly mostUse: number;
-    /** When a request like this could be granted; milliseconds. */
+    /** Time until a similar request could be granted; milliseconds. */
     readonly retryAfterMs: number;
 }
 
-/** How far a granted request has come. */
+/** Progress of a granted request. */
 export type GrantProgress = "started" | "ended" | "not-run";
 
-/** The asking router reports a granted request's progress to the owner. */
+/** Reports a granted request's progress to the owner. */
 export interface GrantReport {
     readonly kind: "report";
     readonly grantId: number;
@@ -71,44 +71,47 @@
     readonly progress: GrantProgress;
 }
 
-/** What routers send one another about grants. */
+/** Any message about grants between routers. */
 export type GrantMessage = GrantRequest | GrantReply | GrantReport;
 
-/** Version of this format and the kind; a message of another version has other codes and is left aside. */
+/** Each code identifies the format version and the kind of message. Other versions use other codes, and their messages are dropped. */
 const codes = { request: 17, reply: 18, report: 19 } as const;
 const progressCodes: readonly GrantProgress[] = ["started", "ended", "not-run"];
-/** Real prompts have a few shared parts; more would only make the message large. */
-const mostParts = 32;
-const useScale = 1_000;
+/** Maximum number of shared parts in a message. Prompts have only a few; more would make the message large without use. */
+const maxParts = 32;
+/** Fractions are sent as whole thousandths. */
+const usageScale = 1_000;
 
-const longestPartId = 64;
+const maxPartIdLength = 64;
 const requestLength = 14;
 const replyLength = 9;
 const reportLength = 5;
-// Made for each message, one would allocate its buffer anew.
+// Reused, since each new encoder allocates its own buffer.
 const encoder = new Encoder();
 const decoder = new Decoder();
 
-/** Whether a datagram carries a message about a grant, by its first bytes: an array whose first entry is one of the codes. */
+/** Whether a datagram holds a message about a grant. Checks only its first two bytes: an array whose first entry is one of the codes. */
 export function isGrantDatagram(data: Uint8Array): boolean {
     return data.length > 1 && (data[0] & 0xf0) === 0x90 && data[1] >= codes.request && data[1] <= codes.report;
 }
 
-/** A message in MessagePack (https://msgpack.org). */
+/** Encodes a message in MessagePack (https://msgpack.org). */
 export function encodeGrantMessage(message: GrantMessage): Uint8Array {
     return encoder.encode(toWire(message));
 }
 
-/** Decodes a message. Errors: no MessagePack, or of another form or version. */
+/** Decodes a message. Errors: not valid MessagePack, or a layout or version that is not supported. */
 export function decodeGrantMessage(data: Uint8Array): Result<GrantMessage, GrantMessageError> {
     let value: unknown;
     try {
         value = decoder.decode(data);
     } catch (cause) {
-        return err(new GrantMessageError("no MessagePack", cause));
+        return err(new GrantMessageError("grant message is not valid MessagePack", cause));
     }
     const message = Array.isArray(value) ? decodeWire(value) : undefined;
-    return message === undefined ? err(new GrantMessageError("of an unknown form or version")) : ok(message);
+    return message === undefined
+        ? err(new GrantMessageError("grant message has an unsupported layout or version"))
+        : ok(message);
 }
 
 function toWire(message: GrantMessage): readonly unknown[] {
@@ -119,14 +122,14 @@
                 message.grantId,
                 message.incarnation,
                 message.targetHash,
-                message.sharedParts.slice(0, mostParts).flatMap(part => [part.id, part.tokens]),
+                message.sharedParts.slice(0, maxParts).flatMap(part => [part.id, part.tokens]),
                 Math.round(message.ownTokens),
                 Math.round(message.copiedTokens),
                 Math.round(message.outputTokens),
                 message.accountHash,
                 Math.round(message.chargedTokens),
                 Math.round(message.mostWaitMs),
-                Math.round(message.mostUse * useScale),
+                Math.round(message.mostUse * usageScale),
                 Math.max(1, Math.round(message.spanMs)),
                 message.isBinding,
             ];
@@ -138,8 +141,8 @@
                 message.granted,
                 Math.round(message.newTokens),
                 Math.round(message.aheadTokens),
-                Math.round(message.use * useScale),
-                Math.round(message.mostUse * useScale),
+                Math.round(message.use * usageScale),
+                Math.round(message.mostUse * usageScale),
                 Math.ceil(message.retryAfterMs),
             ];
         case "report":
@@ -195,7 +198,7 @@
         accountHash,
         chargedTokens,
         mostWaitMs,
-        mostUse: mostUse / useScale,
+        mostUse: mostUse / usageScale,
         spanMs,
         isBinding,
     };
@@ -219,8 +222,8 @@
         granted,
         newTokens,
         aheadTokens,
-        use: use / useScale,
-        mostUse: mostUse / useScale,
+        use: use / usageScale,
+        mostUse: mostUse / usageScale,
         retryAfterMs,
     };
 }
@@ -234,16 +237,16 @@
     return progress === undefined ? undefined : { kind: "report", grantId, incarnation, targetHash, progress };
 }
 
-/** Pairs of an id and a number; undefined where `value` is anything else. */
+/** Decodes a flat list of id and token count pairs. Returns undefined for anything else. */
 function decodeParts(value: unknown): readonly PromptPart[] | undefined {
-    if (!Array.isArray(value) || value.length > mostParts * 2 || value.length % 2 !== 0) {
+    if (!Array.isArray(value) || value.length > maxParts * 2 || value.length % 2 !== 0) {
         return undefined;
     }
     const parts: PromptPart[] = [];
     for (let index = 0; index < value.length; index += 2) {
         const id: unknown = value[index];
         const tokens: unknown = value[index + 1];
-        if (!isName(id) || id.length > longestPartId || !isCount(tokens)) {
+        if (!isName(id) || id.length > maxPartIdLength || !isCount(tokens)) {
             return undefined;
         }
         parts.push({ id, tokens });
--- a/src/gateway/grants/grantOwner.ts
+++ b/src/gateway/grants/grantOwner.ts
@@ -11,40 +11,40 @@
 import type { TargetDirectory } from "../targetDirectory.js";
 import type { GrantReply, GrantReport, GrantRequest } from "./grantMessage.js";
 
-/** What a {@link GrantOwner} needs. */
+/** Dependencies of a {@link GrantOwner}. */
 export interface GrantOwnerOptions {
     readonly directory: TargetDirectory;
     readonly clock: Clock;
-    /** Per service. */
+    /** First-token models by service. */
     readonly firstTokenModels: Registry<FirstTokenModel>;
-    /** Per service. */
+    /** Prefill shares by service. */
     readonly readingShares: Registry<ReadingShare>;
 }
 
-/** Engines whose books are kept; several times those that one router of a large fleet owns. */
-const mostBooks = 4_096;
-/** Several rounds of messages between routers. */
+/** Maximum number of engines with state in memory; several times what one router of a large fleet owns. */
+const maxEngines = 4_096;
+/** Retry delay of a denial for a leaving target; covers several message rounds between routers. Milliseconds. */
 const leavingDenialMs = 4_000;
 
-/** What is kept of one engine. */
-interface EngineBooks {
+/** State of one engine. */
+interface EngineState {
     readonly budget: EngineBudget;
     readonly shares: EngineShares;
 }
 
-/** Decides on sends to the engines that this router owns, for all routers. */
+/** Grants or denies sends to the engines that this router owns, on behalf of all routers. */
 export class GrantOwner {
-    private readonly books = new LRUCache<number, EngineBooks>({ max: mostBooks });
+    private readonly engines = new LRUCache<number, EngineState>({ max: maxEngines });
 
     public constructor(private readonly options: GrantOwnerOptions) {}
 
-    /** `senderId`: the asking router. */
+    /** Decides on a request. `senderId`: id of the router that sent it. */
     public check(senderId: string, request: GrantRequest): GrantReply {
         const target = this.options.directory.findByHash(request.targetHash);
         if (target === undefined) {
             return createUnknownReply(request);
         }
-        // The asking router has not learnt it yet, and would send by its own beliefs to a target that is about to end.
+        // The sender has not yet received this state. Without a denial it would decide by its estimates and send to a target that is about to stop.
         if (target.availability.leaving !== undefined && !request.isBinding) {
             return createLeavingReply(request);
         }
@@ -55,10 +55,10 @@
             id: formatGrantKey(senderId, request),
             tokens: newTokens,
             mostAheadTokens: request.mostWaitMs * rate.tokensPerMs,
-            mostUse: this.computeMostUse(request, nowMs),
+            mostUse: this.computeMaxUsage(request, nowMs),
             spanMs: request.spanMs,
         };
-        const { budget, shares } = this.findBooks(request.targetHash);
+        const { budget, shares } = this.findEngine(request.targetHash);
         shares.recordAsked(request.accountHash, request.chargedTokens, nowMs);
         const decision = budget.check(reading, rate, nowMs);
         if (request.isBinding) {
@@ -73,7 +73,7 @@
     }
 
     public applyReport(senderId: string, report: GrantReport): void {
-        const { budget } = this.findBooks(report.targetHash);
+        const { budget } = this.findEngine(report.targetHash);
         const key = formatGrantKey(senderId, report);
         if (report.progress === "started") {
             budget.recordStart(key);
@@ -82,19 +82,19 @@
         }
     }
 
-    /** The part of the limit that the asking router named, or less where the account has had much at this engine. */
-    private computeMostUse({ targetHash, accountHash, chargedTokens, mostUse }: GrantRequest, nowMs: number): number {
-        const surplus = this.findBooks(targetHash).shares.computeSurplus(accountHash, chargedTokens, nowMs);
+    /** Fraction of the limit that the request may use: that in the request, or less if the engine has already served its account much. */
+    private computeMaxUsage({ targetHash, accountHash, chargedTokens, mostUse }: GrantRequest, nowMs: number): number {
+        const surplus = this.findEngine(targetHash).shares.computeSurplus(accountHash, chargedTokens, nowMs);
         return Math.min(mostUse, computeEngineUse(surplus));
     }
 
-    private findBooks(targetHash: number): EngineBooks {
-        let books = this.books.get(targetHash);
-        if (books === undefined) {
-            books = { budget: new EngineBudget(), shares: new EngineShares() };
-            this.books.set(targetHash, books);
+    private findEngine(targetHash: number): EngineState {
+        let engine = this.engines.get(targetHash);
+        if (engine === undefined) {
+            engine = { budget: new EngineBudget(), shares: new EngineShares() };
+            this.engines.set(targetHash, engine);
         }
-        return books;
+        return engine;
     }
 
     private createRate({ entry }: Target): EngineRate {
@@ -107,7 +107,7 @@
     }
 }
 
-/** A denial that holds until the asking router has learnt from its peers that the target is leaving. */
+/** A denial that holds until the sender has received from its peers that the target is leaving. */
 function createLeavingReply({ grantId, mostUse }: GrantRequest): GrantReply {
     const full = { newTokens: 0, aheadTokens: 0, use: 1, mostUse, retryAfterMs: leavingDenialMs };
     return { kind: "reply", grantId, isKnown: true, granted: false, ...full };
@@ -118,12 +118,12 @@
     return { kind: "reply", grantId, isKnown: false, granted: false, ...nothing };
 }
 
-/** Tokens that the engine has to read, by what was granted there before. */
+/** Prompt tokens that the engine has to prefill: those not cached there by earlier requests and not copied from another engine. */
 function countNewTokens(target: Target, { sharedParts, ownTokens, copiedTokens }: GrantRequest): number {
     return ownTokens + Math.max(0, countMissingTokens(target, sharedParts) - copiedTokens);
 }
 
-/** The engine keeps what it is about to read; other routers report it a round later. */
+/** Records as cached what the engine is about to prefill. Peers' messages report it only a round later. */
 function recordParts(target: Target, { sharedParts, outputTokens }: GrantRequest, newTokens: number): void {
     sharedParts.forEach(part => target.recordPart(part.id, part.tokens));
     target.recordPeerWritten(newTokens + outputTokens);
--- a/test/gateway/grants/grantClient.test.ts
+++ b/test/gateway/grants/grantClient.test.ts
@@ -15,7 +15,7 @@
 const ownId = "router-1";
 const ownerId = "router-2";
 
-/** A router that asks `router-2`, which answers only through {@link GrantClient.applyReply}. */
+/** A router that requests grants from `router-2`. Replies arrive only through {@link GrantClient.applyReply}. */
 function createFixture(): {
     client: GrantClient;
     demand: GrantDemand;
@@ -98,9 +98,9 @@
     retryAfterMs: 0,
 };
 
-describe("a router that asks an engine's owner", () => {
-    // A request must not wait for a router that is frozen or gone; a grant that comes after all would hold up others.
-    it("goes on without an owner that is silent, and gives back what it may have granted", () => {
+describe("a router that requests a grant from an engine's owner", () => {
+    // A request must not wait for an owner that hangs or has stopped. A grant that arrives late would take capacity from other requests.
+    it("continues after a time-out of the owner, and releases what the owner may have granted", () => {
         const { client, demand, sent, outcomes, fireTimers } = createFixture();
         client.submit(demand, outcome => outcomes.push(outcome));
         fireTimers();
@@ -112,8 +112,8 @@
         ]);
     });
 
-    // A datagram of another router, or one that comes twice, must not decide a request.
-    it("takes the owner's answer once, and nobody else's", () => {
+    // A datagram of another router, or a duplicate, must not decide a request.
+    it("applies the owner's reply once, and no other router's", () => {
         const { client, demand, outcomes } = createFixture();
         client.submit(demand, outcome => outcomes.push(outcome));
         client.applyReply("router-3", { ...reply, kind: "reply", grantId: 1, granted: false });
@@ -122,7 +122,7 @@
         expect(outcomes.map(outcome => outcome.kind)).toEqual(["granted"]);
     });
 
-    it("decides by itself while the owner does not know the target", () => {
+    it("decides itself while the owner has no record of the target", () => {
         const { client, demand, outcomes } = createFixture();
         client.submit(demand, outcome => outcomes.push(outcome));
         client.applyReply(ownerId, { ...reply, kind: "reply", grantId: 1, isKnown: false, granted: false });
--- a/test/gateway/grants/grantMessage.property.test.ts
+++ b/test/gateway/grants/grantMessage.property.test.ts
@@ -51,7 +51,7 @@
 const runs = { seed: 5, numRuns: 300 };
 
 describe("messages about grants", () => {
-    it("survive the wire, and are told from messages between peers", () => {
+    it("decode to what was encoded, and are distinguished from peer messages", () => {
         fc.assert(
             fc.property(message, sent => {
                 const data = encodeGrantMessage(sent);
@@ -76,9 +76,9 @@
         expect(isGrantDatagram(peerMessage)).toBe(false);
     });
 
-    // Codes and counts are numbers; what stands for yes or no is a boolean.
-    it("with one value of another kind, or an entry too many or too few, are an error", () => {
-        const decodeChanged = (sent: GrantMessage, change: (wire: unknown[]) => void): boolean => {
+    // Codes and counts must be non-negative integers, and flags must be booleans.
+    it("with a value of a wrong type, an extra entry or a missing one are an error", () => {
+        const isRejected = (sent: GrantMessage, change: (wire: unknown[]) => void): boolean => {
             const wire = decode(encodeGrantMessage(sent)) as unknown[];
             change(wire);
             return decodeGrantMessage(encode(wire)).isErr();
@@ -86,13 +86,13 @@
         const wrong = [undefined, "7", {}, new Uint8Array(1), -1, 0.5, Number.NaN, 2 ** 60, [7, "aa"], ["", 1], ["aa"]];
         const wrongParts = [["a".repeat(65), 1], ["aa", -1], ["aa", 0.5], Array(34).fill(["aa", 1]).flat()];
         fc.assert(
-            fc.property(message, fc.nat(), fc.constantFrom(...wrong), (sent, place, value) => {
+            fc.property(message, fc.nat(), fc.constantFrom(...wrong), (sent, position, value) => {
                 expect([
-                    decodeChanged(sent, wire => {
-                        wire[place % wire.length] = value;
+                    isRejected(sent, wire => {
+                        wire[position % wire.length] = value;
                     }),
-                    decodeChanged(sent, wire => wire.push(wire[1])),
-                    decodeChanged(sent, wire => wire.pop()),
+                    isRejected(sent, wire => wire.push(wire[1])),
+                    isRejected(sent, wire => wire.pop()),
                 ]).toEqual([true, true, true]);
             }),
             { ...runs, numRuns: 2_000 },
@@ -101,7 +101,7 @@
             fc.property(message, fc.constantFrom(...wrongParts), (sent, parts) => {
                 fc.pre(sent.kind === "request");
                 expect(
-                    decodeChanged(sent, wire => {
+                    isRejected(sent, wire => {
                         wire[4] = parts;
                     }),
                 ).toBe(true);
@@ -112,7 +112,7 @@
             fc.property(message, sent => {
                 fc.pre(sent.kind === "report");
                 expect(
-                    decodeChanged(sent, wire => {
+                    isRejected(sent, wire => {
                         wire[4] = 3;
                     }),
                 ).toBe(true);
@@ -121,14 +121,14 @@
         );
     });
 
-    // A datagram can hold anything: cut short, changed on the way, or of a later version.
-    it("that can't be read are an error and never raise", () => {
+    // A datagram can hold anything: truncated, corrupted, or of a later version.
+    it("that can't be decoded are an error and never throw", () => {
         const changed = fc
             .tuple(message, fc.nat(), fc.nat({ max: 255 }), fc.boolean())
-            .map(([sent, place, byte, isCut]) => {
+            .map(([sent, position, byte, isTruncated]) => {
                 const data = Buffer.from(encodeGrantMessage(sent));
-                data[place % data.length] = byte;
-                return isCut ? data.subarray(0, place % data.length) : data;
+                data[position % data.length] = byte;
+                return isTruncated ? data.subarray(0, position % data.length) : data;
             });
         fc.assert(
             fc.property(fc.oneof(changed, fc.uint8Array({ maxLength: 200 })), data => {
--- a/test/gateway/grants/grantOwner.test.ts
+++ b/test/gateway/grants/grantOwner.test.ts
@@ -30,8 +30,8 @@
     isBinding: false,
 };
 
-// The owner of an engine knows that it is leaving, and the asking router does not yet.
-it("denies prompts at an engine that is leaving", () => {
+// The owner has received that the engine is leaving, and the sender of the request has not yet.
+it("denies prompts for an engine that is leaving", () => {
     const clock = new ManualClock();
     const directory = new TargetDirectory({
         clock,
