--- a/src/gateway/peers/accountAggregation.ts
+++ b/src/gateway/peers/accountAggregation.ts
@@ -12,29 +12,31 @@
 import type { RouterCondition } from "./peerMessage.js";
 import type { TotalsMessage } from "./totalsMessage.js";
 
-/** Time between two reports of a router, and between two sums of an aggregator. */
+/** Interval between a router's reports, and between an aggregator's totals; milliseconds. */
 export const aggregationPeriodMs = 100;
-/** Sums are not used for longer; several periods, so that a lost datagram does no harm. */
+/** Maximum age of received totals; milliseconds. Covers several periods, so that a lost datagram does no harm. */
 const totalsTtlMs = 600;
-/** An aggregator whose sums stay away for so long is passed over, and tried again later. */
-const silenceMs = 800;
+/** An aggregator that has sent no totals for this long is skipped. */
+const inactivityTimeoutMs = 800;
+/** Time until a skipped aggregator is a candidate again. */
 const suspicionMs = 4_000;
-/** Own reports that may still be part of sums under way. */
-const keptReports = 16;
+/** Number of own reports to keep: those that totals still in flight may include. */
+const maxOwnReports = 16;
 
-/** A message and the router that it goes to. */
+/** A message and the router that it is sent to. */
 export interface TotalsSend {
     readonly routerId: string;
     readonly message: TotalsMessage;
 }
 
-/** What all other routers had together when they last reported, and which of them the sums are over. */
+/** Usage totals of other routers, and the routers that the totals cover. */
 export interface OtherRouters {
     readonly use: ReportedRouter;
+    /** 32-bit hashes of the routers' ids. */
     readonly routerHashes: ReadonlySet<number>;
 }
 
-/** Sums over the fleet; its age is that at the time of reading. */
+/** Totals over the fleet. `ageMs` is computed when it is accessed. */
 class FleetTotals implements ReportedRouter {
     public constructor(
         private readonly totals: AccountTotals,
@@ -59,7 +61,7 @@
     }
 }
 
-/** What an {@link AccountAggregation} needs. */
+/** Dependencies of an {@link AccountAggregation}. */
 export interface AccountAggregationOptions {
     readonly ownId: string;
     readonly clock: Clock;
@@ -70,21 +72,21 @@
 }
 
 /**
- * This router's part in summing up accounts' use, without a network: it reports to the aggregator of its data centre, and sums up
- * others' reports where it is the aggregator itself.
+ * Aggregates accounts' usage over the fleet; the caller sends and receives the messages. Each router reports to the aggregator of
+ * its data centre. The aggregator, which is one of the routers, merges the reports and sends the totals back.
  */
 export class AccountAggregation {
     private readonly ownHash: number;
-    /** Begins above what earlier starts of the router used. */
+    /** Starts at the wall-clock time, so that it exceeds all numbers of the router's earlier starts. */
     private sequence: number;
     private readonly ownReports = new Map<number, AccountTotals>();
     private readonly reports = new Map<string, ReceivedTotals>();
     private readonly subtotals = new Map<string, ReceivedTotals>();
-    private receivedAtMs = Number.NEGATIVE_INFINITY;
+    private appliedAtMs = Number.NEGATIVE_INFINITY;
     private others: OtherRouters | undefined;
     private readonly suspectedUntilMs = new Map<string, number>();
     private aggregatorId: string | undefined;
-    private answeredAtMs = 0;
+    private totalsReceivedAtMs = 0;
     private reportedAtMs = Number.NEGATIVE_INFINITY;
 
     public constructor(private readonly options: AccountAggregationOptions) {
@@ -92,12 +94,12 @@
         this.sequence = options.clock.nowDate().getTime();
     }
 
-    /** The router that sums up for this one's data centre, as far as it knows; undefined before the first report. */
+    /** Id of the aggregator chosen for this router's data centre; undefined before the first report. */
     public get aggregator(): string | undefined {
         return this.aggregatorId;
     }
 
-    /** Makes this period's messages. */
+    /** Creates the messages of this period. */
     public createMessages(): readonly TotalsSend[] {
         const nowMs = this.options.clock.nowMs();
         const own = this.createReport();
@@ -108,7 +110,7 @@
         if (this.aggregatorId !== this.options.ownId) {
             return [{ routerId: this.aggregatorId, message: { scope: "router", totals: own } }];
         }
-        return this.createSums(own, nowMs);
+        return this.createTotals(own, nowMs);
     }
 
     public applyMessage(senderId: string, { scope, totals }: TotalsMessage): void {
@@ -123,19 +125,19 @@
             case "fleet":
                 if (senderId === this.aggregatorId) {
                     this.applyFleet(totals, received.receivedAtMs);
-                    this.answeredAtMs = received.receivedAtMs;
+                    this.totalsReceivedAtMs = received.receivedAtMs;
                 }
                 break;
         }
     }
 
-    /** What the other routers had, by sums that are fresh; undefined without such sums. */
+    /** Totals of the other routers; undefined if none were received within the time-to-live. */
     public findOthers(): OtherRouters | undefined {
-        const isFresh = this.receivedAtMs + totalsTtlMs >= this.options.clock.nowMs();
+        const isFresh = this.appliedAtMs + totalsTtlMs >= this.options.clock.nowMs();
         return isFresh ? this.others : undefined;
     }
 
-    /** Takes sums over the fleet. Those with a report of an earlier start of this router are left aside. */
+    /** Applies totals over the fleet. Drops totals that include a report of an earlier start of this router. */
     private applyFleet(totals: AccountTotals, receivedAtMs: number): void {
         const included = totals.members.find(member => member.routerHash === this.ownHash);
         const ownReport = included === undefined ? noTotals : this.ownReports.get(included.sequence);
@@ -143,7 +145,7 @@
             return;
         }
         const others = removeReport(totals, ownReport);
-        this.receivedAtMs = receivedAtMs;
+        this.appliedAtMs = receivedAtMs;
         this.others = {
             use: new FleetTotals(others, receivedAtMs, this.options.clock),
             routerHashes: new Set(others.members.map(member => member.routerHash)),
@@ -160,12 +162,12 @@
             accounts: new Map([...accounts].filter(([, use]) => use.asked > 0 || use.served > 0)),
         };
         this.ownReports.set(this.sequence, report);
-        this.ownReports.delete(this.sequence - keptReports);
+        this.ownReports.delete(this.sequence - maxOwnReports);
         return report;
     }
 
-    /** Sums for the other aggregators and for the routers of this data centre. */
-    private createSums(own: AccountTotals, nowMs: number): readonly TotalsSend[] {
+    /** Creates the subtotal for the other aggregators, and the totals for the routers of this data centre. */
+    private createTotals(own: AccountTotals, nowMs: number): readonly TotalsSend[] {
         const dataCentre = this.options.getCondition().dataCentre;
         const conditions = this.options.getConditions();
         const subtotal = mergeTotals([{ totals: own, receivedAtMs: nowMs }, ...listFresh(this.reports, nowMs)], nowMs);
@@ -189,12 +191,12 @@
     private updateAggregator(nowMs: number): void {
         const { ownId } = this.options;
         const before = this.aggregatorId;
-        // Without reports of this router there were no answers to wait for.
-        if (nowMs - this.reportedAtMs > silenceMs) {
-            this.answeredAtMs = nowMs;
+        // Without reports of this router no totals were due, so that none are missing.
+        if (nowMs - this.reportedAtMs > inactivityTimeoutMs) {
+            this.totalsReceivedAtMs = nowMs;
         }
         this.reportedAtMs = nowMs;
-        if (before !== undefined && before !== ownId && nowMs - this.answeredAtMs > silenceMs) {
+        if (before !== undefined && before !== ownId && nowMs - this.totalsReceivedAtMs > inactivityTimeoutMs) {
             this.suspectedUntilMs.set(before, nowMs + suspicionMs);
         }
         for (const [routerId, untilMs] of this.suspectedUntilMs) {
@@ -209,7 +211,7 @@
         ].filter(({ routerId }) => !this.suspectedUntilMs.has(routerId));
         this.aggregatorId = chooseAggregator(dataCentre, candidates);
         if (this.aggregatorId !== before) {
-            this.answeredAtMs = nowMs;
+            this.totalsReceivedAtMs = nowMs;
         }
     }
 }
--- a/src/gateway/peers/handover.ts
+++ b/src/gateway/peers/handover.ts
@@ -5,23 +5,23 @@
 import type { FleetSource } from "../fleetSource.js";
 import { fetchSnapshot } from "./handoverApi.js";
 
-/** The platform is asked first: a start while all is well needs no peer. */
-const headStartMs = 300;
+/** Time for the platform to respond first; milliseconds. A start without an outage needs no peer. */
+const platformHeadStartMs = 300;
 const retryMs = 500;
 
-/** What a {@link Handover} needs. */
+/** Dependencies of a {@link Handover}. */
 export interface HandoverOptions {
     readonly source: FleetSource;
     readonly logger: Logger;
     readonly sleep: Sleep;
-    /** Control addresses of routers that may know. */
+    /** Control addresses of routers that may hold the platform's records. */
     readonly listAddresses: () => readonly string[];
 }
 
 /**
- * Gets the platform's records from peers while the platform itself does not answer. A router that starts during an outage
- * knows no route and would turn all callers away for as long as the outage lasts; its peers still serve by what they read
- * before. Records only fill what has not been read: what the platform says later replaces them.
+ * Fetches the platform's records from peers while the platform is unavailable. A router that starts during an outage has no
+ * routes and would refuse all requests until the outage ends, while its peers still serve with the records that they read before.
+ * A snapshot is applied only as long as the platform's own records have not been read; those replace it later.
  */
 export class Handover implements Disposable {
     private readonly cancellation = new CancellationTokenSource();
@@ -31,7 +31,7 @@
     public async run(): Promise<void> {
         const { source, sleep, listAddresses } = this.options;
         const { token } = this.cancellation;
-        await sleep(headStartMs, token);
+        await sleep(platformHeadStartMs, token);
         while (!token.isCancelled && !source.isUsable) {
             for (const address of listAddresses()) {
                 if (await this.fetchFrom(address)) {
@@ -58,14 +58,14 @@
                     return false;
                 }
                 source.applySnapshot(value);
-                logger.write("info", "took the platform's records from a peer", {
+                logger.write("info", "applied a snapshot of the platform's records from a peer", {
                     address,
                     records: value.records.length,
                 });
                 return true;
             },
             error => {
-                logger.write("info", "a peer hands nothing over", { address, detail: error.message });
+                logger.write("info", "fetching a snapshot from a peer failed", { address, detail: error.message });
                 return false;
             },
         );
--- a/src/gateway/peers/handoverApi.ts
+++ b/src/gateway/peers/handoverApi.ts
@@ -8,13 +8,13 @@
 import { fetchBounded } from "../../control/boundedFetch.js";
 import type { SourceSnapshot } from "../fleetSource.js";
 
-/** A peer did not hand over what it knows. */
+/** A snapshot could not be fetched from a peer. */
 export class HandoverError extends LynxarchError {
     public readonly code = "handover-failed";
 }
 
 const endpoint = "/trpc";
-/** A peer in the same region answers within milliseconds; one that does not is down, and the next one is asked. */
+/** Time-out of a call; milliseconds. A peer in the same region responds within milliseconds; one that does not is taken as down, and the next one is tried. */
 const callTimeoutMs = 500;
 
 const snapshotSchema = z.object({
@@ -22,35 +22,35 @@
 });
 
 const trpc = initTRPC.context<{ readonly readSnapshot: () => SourceSnapshot | undefined }>().create();
-const handoverRouter = trpc.router({
-    /** All records of the platform that the router holds; undefined while it has not read them itself. */
+const snapshotRouter = trpc.router({
+    /** All records of the platform that the router holds; undefined until it has read them itself. */
     snapshot: trpc.procedure.query(({ ctx }) => ctx.readSnapshot()),
 });
 
-/** Builds the app that hands over to routers that start while the platform's store is away. */
+/** Creates the app that serves snapshots to routers that start while the platform's store is unavailable. */
 export function createHandoverApp(readSnapshot: () => SourceSnapshot | undefined): Hono {
     const app = new Hono();
     app.all(`${endpoint}/*`, context =>
         fetchRequestHandler({
             endpoint,
             req: context.req.raw,
-            router: handoverRouter,
+            router: snapshotRouter,
             createContext: () => ({ readSnapshot }),
         }),
     );
     return app;
 }
 
-/** Asks a peer for its records; undefined: it has none itself. Errors: no answer in time, or one of another form. */
+/** Fetches a peer's records; undefined: the peer has none. Errors: no response in time, or an invalid one. */
 export function fetchSnapshot(address: string): ResultAsync<SourceSnapshot | undefined, HandoverError> {
-    const client = createTRPCClient<typeof handoverRouter>({
+    const client = createTRPCClient<typeof snapshotRouter>({
         links: [httpLink({ url: `http://${address}${endpoint}`, fetch: fetchBounded })],
     });
-    const answer = client.snapshot
+    const response = client.snapshot
         .query(undefined, { signal: AbortSignal.timeout(callTimeoutMs) })
         .then(value => snapshotSchema.optional().parse(value));
     return ResultAsync.fromPromise(
-        answer,
+        response,
         cause => new HandoverError(cause instanceof Error ? cause.message : String(cause), cause),
     );
 }
--- a/src/gateway/peers/peerDirectory.ts
+++ b/src/gateway/peers/peerDirectory.ts
@@ -6,44 +6,47 @@
 import type { PeerAddress, PeerMessage, RouterCondition } from "./peerMessage.js";
 
 /**
- * Reported loads expire after the time in which engines read what usually waits there. Counted in full for longer, loads of
- * several rounds add up, and engines look busy that have nothing to read.
+ * Time-to-live of reported loads; milliseconds. It is the time in which engines prefill what is usually queued there. Counted in
+ * full for longer, loads of several rounds add up, and idle engines look busy.
  */
 export const loadTtlMs = 600;
-/** Reported uses of accounts are over seconds, and estimated up to now; they expire after this long, or so many rounds. */
-const useTtlMs = 1_200;
-const roundsToLive = 4;
 /**
- * A router without a message for this long may be cut off and still at work, so it keeps its share of cold targets. Kept
- * too long, the share of a router that is gone is merely not used.
+ * Minimum time-to-live of reported account usage; milliseconds. Reports cover seconds and are extrapolated to the present. They expire
+ * after this time or {@link reportTtlRounds}, whichever is longer.
+ */
+const minReportTtlMs = 1_200;
+const reportTtlRounds = 4;
+/**
+ * Time without a message after which a router is removed; milliseconds. A router that is only unreachable may still send requests,
+ * so it keeps its share of cold targets until then. If it has stopped, the only cost is that its share is not used for that time.
  */
 export const memberTtlMs = 30_000;
-/** Rounds of messages pass in this time, so that a router without any message is alone, or cut off. */
+/** Several message rounds pass in this time after a start; milliseconds. A router that has received none by then is alone or unreachable. */
 const settleMs = 1_500;
 
 interface Peer {
     readonly message: PeerMessage;
     readonly receivedAtMs: number;
-    readonly use: PeerReport;
+    readonly report: PeerReport;
 }
 
-/** Peers with a recent report. */
+/** Cached data of the peers with a recent report, valid until `untilMs`. */
 interface FreshPeers {
     readonly untilMs: number;
-    readonly uses: readonly PeerReport[];
+    readonly reports: readonly PeerReport[];
     readonly conditions: ReadonlyMap<string, RouterCondition>;
 }
 
 /** The newest state received from each peer. */
 export class PeerDirectory {
     private readonly peers = new Map<string, Peer>();
-    /** Addresses that messages named, and when they last did. */
+    /** Addresses from messages, and when a message last named each. */
     private readonly addresses = new Map<string, { readonly ip: string; readonly namedAtMs: number }>();
     private readonly routerByIp = new Map<string, string>();
     private readonly startedAtMs: number;
-    /** No entry expires before this time. */
+    /** Earliest time at which an entry may expire. */
     private removeAfterMs = Number.POSITIVE_INFINITY;
-    /** Read with each request, and changed by messages; undefined when invalidated. */
+    /** Cached since each request reads it; undefined when invalidated by a message. */
     private view: RouterView | undefined;
     private fresh: FreshPeers | undefined;
 
@@ -61,7 +64,7 @@
         this.view = undefined;
     }
 
-    /** Takes a message; false when it is this router's own or older than what is known. */
+    /** Applies a message. Returns false, without effect, for this router's own messages and for those not newer than the last one of their sender. */
     public apply(message: PeerMessage): boolean {
         const known = this.peers.get(message.routerId)?.message;
         const isOlder =
@@ -75,7 +78,7 @@
         this.peers.set(message.routerId, {
             message,
             receivedAtMs: namedAtMs,
-            use: new PeerReport(message, namedAtMs, this.clock),
+            report: new PeerReport(message, namedAtMs, this.clock),
         });
         this.fresh = undefined;
         this.removeAfterMs = Math.min(this.removeAfterMs, namedAtMs + memberTtlMs);
@@ -92,31 +95,31 @@
         return true;
     }
 
-    /** Where to send messages: all known addresses, and the seeds until they are known. */
+    /** Addresses to send messages to: all known ones and the seeds, except this router's own. */
     public listAddresses(): readonly string[] {
-        this.removeOld();
+        this.removeExpired();
         return [...new Set([...[...this.addresses.values()].map(address => address.ip), ...this.seedIps])].filter(
             ip => ip !== this.own.ip,
         );
     }
 
-    /** Address of a router that a message was received of. */
+    /** Address of a router from which a message was received. */
     public findAddress(routerId: string): string | undefined {
         return this.peers.get(routerId)?.message.ip;
     }
 
-    /** The router that last sent from this address; an address may be reused by a later router. */
+    /** The router that last sent from this address. A later router may reuse an address. */
     public findRouter(ip: string): string | undefined {
         return this.routerByIp.get(ip);
     }
 
-    /** Routers with a recent message, for others that don't know them. */
+    /** Routers from which a message was received recently, to be named in messages to others. */
     public listMembers(): readonly PeerAddress[] {
         return [...this.peers.values()].map(({ message }) => ({ routerId: message.routerId, ip: message.ip }));
     }
 
     public get routers(): RouterView {
-        this.removeOld();
+        this.removeExpired();
         const isSettled = this.clock.nowMs() - this.startedAtMs >= settleMs;
         if (this.view?.isSettled !== isSettled) {
             this.view = this.createView(isSettled);
@@ -124,14 +127,14 @@
         return this.view;
     }
 
-    /** Accounts' use at each router with a recent report; the ages are those at the time of reading. */
+    /** Usage of accounts at each router with a recent report. Ages are computed when they are accessed. */
     public get accountUses(): readonly ReportedRouter[] {
-        return this.findFresh().uses;
+        return this.findFresh().reports;
     }
 
-    /** The same at the routers that are not among those named by the hashes of their ids. */
+    /** The same without the routers whose ids have these hashes. */
     public listUsesExcept(routerHashes: ReadonlySet<number>): readonly ReportedRouter[] {
-        return this.findFresh().uses.filter(use => !routerHashes.has(use.routerHash));
+        return this.findFresh().reports.filter(report => !routerHashes.has(report.routerHash));
     }
 
     /** Conditions of routers with a recent report, by id. */
@@ -139,14 +142,14 @@
         return this.findFresh().conditions;
     }
 
-    /** What all other routers have under way, by the hash of the target's id. */
+    /** Sums of the other routers' current loads, by the hash of the target's id. */
     public computeLoads(): ReadonlyMap<number, PeerLoad> {
         const sums = new Map<number, PeerLoad>();
         for (const load of this.listPeers(() => loadTtlMs).flatMap(peer => peer.message.targets)) {
-            const before = sums.get(load.targetHash);
+            const sum = sums.get(load.targetHash);
             sums.set(load.targetHash, {
-                waitingTokens: load.waitingTokens + (before?.waitingTokens ?? 0),
-                running: load.running + (before?.running ?? 0),
+                waitingTokens: load.waitingTokens + (sum?.waitingTokens ?? 0),
+                running: load.running + (sum?.running ?? 0),
             });
         }
         return sums;
@@ -154,11 +157,11 @@
 
     private createView(isSettled: boolean): RouterView {
         const received = new Set([...this.peers.values()].map(peer => peer.message.ip));
-        const unheardSeeds = this.seedIps.filter(ip => ip !== this.own.ip && !received.has(ip));
+        const missingSeeds = this.seedIps.filter(ip => ip !== this.own.ip && !received.has(ip));
         return {
             ownId: this.own.routerId,
             routerIds: [this.own.routerId, ...this.peers.keys()],
-            unheard: unheardSeeds.length,
+            unheard: missingSeeds.length,
             isSettled,
         };
     }
@@ -168,14 +171,14 @@
             const peers = this.listPeers(computeReportTtlMs);
             this.fresh = {
                 untilMs: Math.min(...peers.map(peer => peer.receivedAtMs + computeReportTtlMs(peer.message))),
-                uses: peers.map(peer => peer.use),
+                reports: peers.map(peer => peer.report),
                 conditions: new Map(peers.map(({ message }) => [message.routerId, message.condition])),
             };
         }
         return this.fresh;
     }
 
-    /** Peers whose last message is not older than the given time. */
+    /** Peers whose last message is not older than its time-to-live. */
     private listPeers(getTtlMs: (message: PeerMessage) => number): readonly Peer[] {
         const nowMs = this.clock.nowMs();
         return [...this.peers.values()].filter(
@@ -183,14 +186,14 @@
         );
     }
 
-    /** The address may belong to a later router by now. */
+    /** Removes the address unless a later router uses it by now. */
     private removeIp(routerId: string, ip: string): void {
         if (this.routerByIp.get(ip) === routerId) {
             this.routerByIp.delete(ip);
         }
     }
 
-    private removeOld(): void {
+    private removeExpired(): void {
         const nowMs = this.clock.nowMs();
         if (nowMs <= this.removeAfterMs) {
             return;
@@ -206,8 +209,8 @@
                 oldestMs = Math.min(oldestMs, peer.receivedAtMs);
             }
         }
-        // Also those that others named and that never sent a message: thousands of VMs are replaced a day, and messages to those
-        // that are gone would take a growing part of the traffic.
+        // Includes addresses that others named and that never sent a message: thousands of VMs are replaced a day, and messages to
+        // removed ones would take a growing part of the traffic.
         for (const [id, address] of this.addresses) {
             if (nowMs - address.namedAtMs > memberTtlMs) {
                 this.addresses.delete(id);
@@ -219,7 +222,7 @@
     }
 }
 
-/** A peer's report on its accounts; its age is that at the time of reading. */
+/** A peer's report on its accounts. `ageMs` is computed when it is accessed. */
 class PeerReport implements ReportedRouter {
     public readonly routerHash: number;
 
@@ -245,5 +248,5 @@
 }
 
 function computeReportTtlMs({ periodMs }: PeerMessage): number {
-    return Math.max(useTtlMs, roundsToLive * periodMs);
+    return Math.max(minReportTtlMs, reportTtlRounds * periodMs);
 }
--- a/src/gateway/peers/peerExchange.ts
+++ b/src/gateway/peers/peerExchange.ts
@@ -24,39 +24,39 @@
 import type { RolloutTransport } from "../rollouts/rollouts.js";
 import type { PeerState } from "./peerState.js";
 
-/** A log line for datagrams that can't be decoded is written at most this often; milliseconds. */
-const faultLogPeriodMs = 10_000;
+/** Minimum interval between log lines about dropped datagrams; milliseconds. */
+const dropLogPeriodMs = 10_000;
 
-/** What a {@link PeerExchange} needs. */
+/** Dependencies of a {@link PeerExchange}. */
 export interface PeerExchangeOptions {
     readonly ip: string;
     readonly port: number;
     readonly state: PeerState;
     readonly clock: Clock;
     readonly logger: Logger;
-    /** A message about a grant from a router that is known. */
+    /** A message about a grant was received from a known router. */
     readonly onDidReceiveGrantMessage: (senderId: string, message: GrantMessage) => void;
-    /** A report of crashes from a router that is known. */
+    /** A report of crashes was received from a known router. */
     readonly onDidReceiveCrashMessage: (message: CrashMessage) => void;
-    /** A report on a roll-out from a router that is known. */
+    /** A report on a roll-out was received from a known router. */
     readonly onDidReceiveRolloutMessage: (senderId: string, message: RolloutMessage) => void;
 }
 
 /**
  * Sends this router's state to its peers in rounds and receives theirs.
  *
- * Datagrams and not calls: no message needs a repeat, and a peer that is gone costs nothing but the send.
+ * Uses datagrams instead of calls: no message needs a retry, and a peer that has stopped costs no more than the send.
  */
 export class PeerExchange implements GrantTransport, CrashTransport, RolloutTransport, Disposable {
     private readonly store = new DisposableStore();
     private timer: NodeJS.Timeout | undefined;
     private totalsTimer: NodeJS.Timeout | undefined;
     private socket: Socket | undefined;
-    private lastFaultLogAtMs = Number.NEGATIVE_INFINITY;
+    private lastDropLogAtMs = Number.NEGATIVE_INFINITY;
 
     public constructor(private readonly options: PeerExchangeOptions) {}
 
-    /** Begins to listen and to send. Errors: the port can't be had. */
+    /** Starts to listen and to send. Rejects if the port can't be bound. */
     public start(): Promise<void> {
         const { ip, port, logger } = this.options;
         const socket = createSocket("udp4");
@@ -68,7 +68,7 @@
             socket.bind(port, ip, () => {
                 socket.off("error", reject);
                 socket.on("error", error =>
-                    logger.write("warn", "the peers' socket failed", { detail: error.message }),
+                    logger.write("warn", "the socket for peer messages failed", { detail: error.message }),
                 );
                 this.sendRound();
                 this.totalsTimer = setInterval(() => this.sendTotals(), aggregationPeriodMs);
@@ -128,7 +128,7 @@
         }
         decodePeerMessage(data).match(
             message => this.options.state.applyMessage(message),
-            error => this.reportFault(error.message),
+            error => this.reportDropped(error.message),
         );
     }
 
@@ -154,7 +154,7 @@
         this.handleKnown(senderIp, decodeRolloutMessage(data), onDidReceiveRolloutMessage);
     }
 
-    /** Hands a message on if its sender is a known router. */
+    /** Passes a decoded message to `handle` if its sender is a known router. */
     private handleKnown<T>(
         senderIp: string,
         message: Result<T, Error>,
@@ -162,20 +162,20 @@
     ): void {
         const senderId = this.options.state.findRouter(senderIp);
         if (senderId === undefined) {
-            this.reportFault("from an unknown router");
+            this.reportDropped("sender is not a known router");
             return;
         }
         message.match(
             value => handle(senderId, value),
-            error => this.reportFault(error.message),
+            error => this.reportDropped(error.message),
         );
     }
 
-    private reportFault(detail: string): void {
+    private reportDropped(detail: string): void {
         const { clock, logger } = this.options;
-        if (clock.nowMs() - this.lastFaultLogAtMs > faultLogPeriodMs) {
-            this.lastFaultLogAtMs = clock.nowMs();
-            logger.write("warn", "a message between routers is left aside", { detail });
+        if (clock.nowMs() - this.lastDropLogAtMs > dropLogPeriodMs) {
+            this.lastDropLogAtMs = clock.nowMs();
+            logger.write("warn", "dropped a message from a router", { detail });
         }
     }
 
@@ -197,7 +197,7 @@
         const data = encodePeerMessage(state.createMessage());
         const addresses = state.listAddresses();
         for (const ip of addresses) {
-            // A peer that is gone answers with an error or not at all; the directory's times show what that means.
+            // Send errors are ignored: the directory removes a stopped peer by the age of its last message.
             this.socket?.send(data, port, ip, () => undefined);
         }
         state.recordRound(data.length, addresses.length);
--- a/src/gateway/peers/peerMessage.ts
+++ b/src/gateway/peers/peerMessage.ts
@@ -4,74 +4,77 @@
 import type { AccountUse } from "../../decisions/shares/accountUse.js";
 import { isAmount, isFiniteNumber, isName } from "../wireValues.js";
 
-/** A message between routers can't be read. */
+/** A peer message can't be decoded. */
 export class PeerMessageError extends LynxarchError {
     public readonly code = "peer-message-invalid";
 }
 
-/** A router and where it listens for peers. */
+/** A router and the IP address at which it receives peer messages. */
 export interface PeerAddress {
     readonly routerId: string;
     readonly ip: string;
 }
 
-/** A part of a prompt that a target has begun to read. */
+/** A prompt part whose prefill has begun at a target. */
 export interface PartRead {
-    /** 32-bit hash of the target's id: four bytes in place of some fifteen. */
+    /** 32-bit hash of the target's id: four bytes instead of about fifteen. */
     readonly targetHash: number;
     readonly partId: string;
     readonly tokens: number;
 }
 
-/** What a router has under way at one target. */
+/** A router's current load at one target. */
 export interface TargetLoad {
     /** 32-bit hash of the target's id. */
     readonly targetHash: number;
+    /** Prompt tokens that wait for their prefill. */
     readonly waitingTokens: number;
+    /** Requests in progress. */
     readonly running: number;
-    /** Tokens that the router's requests wrote into the target's memory since its last message. */
+    /** Tokens that the router's requests wrote into the target's cache since the router's last message. */
     readonly writtenTokens: number;
 }
 
-/** An incarnation of a target that is leaving, as the sender learnt from its answers, its record or a peer. */
+/** A leaving target's incarnation, as the sender received it in a response or record of the target, or from a peer. */
 export interface LeavingTarget {
     /** 32-bit hash of the target's id. */
     readonly targetHash: number;
-    /** When the target started, by its own clock. */
+    /** When the target started, by its own clock; milliseconds since the epoch. */
     readonly startedAtMs: number;
 }
 
-/** How a router stands. */
+/** A router's condition. */
 export interface RouterCondition {
     readonly dataCentre: string;
-    /** Part of a core that it may use. */
+    /** Fraction of a core that the router may use. */
     readonly processorShare: number;
-    /** Smoothed part of the time in which its event loop had something to do, 0 to 1. */
+    /** Smoothed fraction of the time in which the router's event loop was busy, 0 to 1. */
     readonly utilization: number;
-    /** Whether it asks the balancer to leave it out. */
+    /** Whether the router requests that the balancer exclude it. */
     readonly isWithdrawn: boolean;
-    /** Version of the configuration in force; undefined while the platform is not reached, or there is none. */
+    /** Version of the configuration in force; undefined while the platform is unreachable, or without a configuration. */
     readonly configurationVersion?: number | undefined;
 }
 
-/** The state that a router replicates to its peers, whole each time: the next message makes up for a lost one. */
+/** The complete state that a router replicates to its peers, so that the next message replaces a lost one. */
 export interface PeerMessage {
     readonly routerId: string;
     /** Larger for later starts of the same router. */
     readonly incarnation: number;
-    /** Rises within an incarnation, so that a datagram that was overtaken is known as old. */
+    /** Increases within an incarnation, so that datagrams that arrive out of order are detected. */
     readonly sequence: number;
     readonly ip: string;
-    /** Time until the sender's next message; milliseconds. */
+    /** Interval until the sender's next message; milliseconds. */
     readonly periodMs: number;
     readonly targets: readonly TargetLoad[];
-    /** Time that the accounts' sums cover; milliseconds. */
+    /** Window that the accounts' usage covers; milliseconds. */
     readonly coveredMs: number;
     readonly accounts: ReadonlyMap<string, AccountUse>;
-    /** Since some messages ago, as a message may be lost. */
+    /** Recent prefills, each repeated in several messages, as a message may be lost. */
     readonly reads: readonly PartRead[];
-    /** Some of the routers it knows. */
+    /** Some of the routers from which the sender has received messages. */
     readonly peers: readonly PeerAddress[];
+    /** Targets that are leaving. */
     readonly leaving: readonly LeavingTarget[];
     readonly condition: RouterCondition;
 }
@@ -81,14 +84,15 @@
 const readColumns = 3;
 const peerColumns = 2;
 const leavingColumns = 2;
+/** Fractions are sent as whole thousandths. */
 const conditionScale = 1_000;
 const wireLength = 12;
 const conditionLength = 5;
-/** Versions are sent as the next number; 0 stands for none. */
+/** A configuration version is encoded as the version plus one; 0 stands for none. */
 const noVersion = 0;
 const decoder = new Decoder();
 
-/** Rows one behind the other; a list around each would only add bytes. */
+/** Entries of the encoded message. Rows are concatenated, as a nested array for each row would only add bytes. */
 type Wire = [
     routerId: string,
     incarnation: number,
@@ -111,7 +115,7 @@
 ];
 
 /**
- * A message in MessagePack (https://msgpack.org): bytes decide how often a round can be sent.
+ * Encodes a message in MessagePack (https://msgpack.org). The message size determines how often a round can be sent.
  */
 export function encodePeerMessage(message: PeerMessage): Uint8Array {
     const wire: Wire = [
@@ -141,19 +145,19 @@
     return encode(wire);
 }
 
-/** Reads a message. Errors: no MessagePack, or of another form. */
+/** Decodes a message. Errors: not valid MessagePack, or an unsupported layout. */
 export function decodePeerMessage(data: Uint8Array): Result<PeerMessage, PeerMessageError> {
     let value: unknown;
     try {
         value = decoder.decode(data);
     } catch (cause) {
-        return err(new PeerMessageError("no MessagePack", cause));
+        return err(new PeerMessageError("peer message is not valid MessagePack", cause));
     }
     const message = Array.isArray(value) && value.length === wireLength ? decodeWire(value) : undefined;
-    return message === undefined ? err(new PeerMessageError("of an unknown form")) : ok(message);
+    return message === undefined ? err(new PeerMessageError("peer message has an unsupported layout")) : ok(message);
 }
 
-/** Each peer's every message comes through here: checked by hand, it takes a fraction of a schema's time. */
+/** Runs for every message of every peer. The explicit checks take a fraction of the time of a schema validation. */
 function decodeWire(wire: readonly unknown[]): PeerMessage | undefined {
     const [routerId, incarnation, sequence, ip, periodMs] = wire;
     const coveredMs = wire[6];
@@ -191,7 +195,7 @@
     };
 }
 
-/** Undefined where `value` is not a whole number of rows, or one of them is of another form. */
+/** Decodes concatenated rows. Returns undefined if a row is incomplete or can't be decoded. */
 function decodeRows<T>(
     value: unknown,
     columns: number,
@@ -271,7 +275,7 @@
         : undefined;
 }
 
-/** Fractions as whole numbers, which take fewer bytes. */
+/** Encodes fractions as integers, which take fewer bytes. */
 function encodeCondition(condition: RouterCondition): Wire[11] {
     const { dataCentre, processorShare, utilization, isWithdrawn, configurationVersion } = condition;
     const scaled = [processorShare, utilization].map(value => Math.round(value * conditionScale));
--- a/src/gateway/peers/peerState.ts
+++ b/src/gateway/peers/peerState.ts
@@ -8,56 +8,58 @@
 import type { AccountSource, PeerRound, PeerView } from "./peerView.js";
 import type { TotalsMessage } from "./totalsMessage.js";
 
-/** Shortest time between two rounds of messages: about how long an engine takes to read one prompt. */
-const leastPeriodMs = 100;
-/** Upper bound of the control traffic that a router sends; rounds become rarer as the fleet grows. */
+/** Minimum interval between message rounds; milliseconds. It is about the time that an engine takes to prefill one prompt. */
+const minPeriodMs = 100;
+/** Maximum rate of control traffic that a router sends. To stay within it, rounds become less frequent as the fleet grows. */
 export const controlBytesPerSecond = 40_000;
 const msPerSecond = 1_000;
-/** A read is reported in this many rounds, so that one lost datagram does not hide it. */
-const readRounds = 3;
-/** Reads in one message; keeps it below the size at which networks fragment datagrams many times over. */
-const mostReads = 60;
-/** Leaving targets in one message; more leave at a time only where a large fleet is replaced. */
-const mostLeaving = 100;
-/** Peers named in one message; another few in each round. */
-const peersInMessage = 2;
-/** Rounds that are at most so long bring accounts' use as early as aggregators would. */
-const mostFreshRoundMs = 2 * aggregationPeriodMs;
-/** The peers' loads are summed at most this often, as each sum goes over all peers. */
-const leastSumPeriodMs = 25;
-
-/** What a {@link PeerState} needs. */
+/** Number of rounds that report a prefill, so that one lost datagram does not hide it. */
+const roundsPerPrefill = 3;
+/** Maximum number of prefills in a message. Limits its size, so that networks don't split it into many fragments. */
+const maxPrefills = 60;
+/** Maximum number of leaving targets in a message. More leave at a time only when a large fleet is replaced. */
+const maxLeaving = 100;
+/** Maximum number of peers named in a message; each round names different ones. */
+const maxPeers = 2;
+/** Up to this interval between rounds, peer messages report accounts' usage as early as aggregators would. */
+const maxDirectRoundMs = 2 * aggregationPeriodMs;
+/** Minimum interval between updates of the peers' summed loads; milliseconds. Each update iterates over all peers. */
+const minLoadUpdatePeriodMs = 25;
+
+/** Dependencies of a {@link PeerState}. */
 export interface PeerStateOptions {
     readonly own: PeerAddress;
     readonly seedIps: readonly string[];
     readonly clock: Clock;
-    /** What this router has under way, and what its accounts demanded and got. */
+    /** This router's current load at targets. */
     readonly listOwnLoads: () => readonly TargetLoad[];
+    /** Tokens that accounts requested from this router and were served. */
     readonly listOwnAccounts: () => RouterAccounts;
-    /** Targets that are leaving, as far as this router knows. */
+    /** Leaving targets in this router's state. */
     readonly listLeaving: () => readonly LeavingTarget[];
-    /** How this router stands. */
+    /** This router's condition. */
     readonly getCondition: () => RouterCondition;
-    /** The peers' sums changed; by the hash of the target's id. */
+    /** The peers' summed loads changed; by the hash of the target's id. */
     readonly onDidSumLoads: (loads: ReadonlyMap<number, PeerLoad>) => void;
-    /** A message that is newer than the last one of its sender. */
+    /** A message was received that is newer than the last one of its sender. */
     readonly onDidReceive: (message: PeerMessage) => void;
 }
 
 /**
- * The state that routers replicate to one another, without a network: builds this router's messages and applies the peers'.
+ * The state that routers replicate to one another. Creates this router's messages and applies those of the peers; the caller sends
+ * and receives them.
  *
- * Each message holds the sender's whole state, so that a lost or late one needs no repeat. Peers' state only makes decisions
- * better; each decision stays correct, on the careful side, while nothing is received.
+ * Each message holds the sender's complete state, so that a lost or late one needs no retry. Peers' state only improves decisions:
+ * without it, they stay correct but are more conservative.
  */
 export class PeerState implements PeerView {
     private readonly directory: PeerDirectory;
     private readonly aggregation: AccountAggregation;
     private readonly incarnation: number;
-    private readonly recentReads: { readonly read: PartRead; rounds: number }[] = [];
+    private readonly recentPrefills: { readonly prefill: PartRead; rounds: number }[] = [];
     private sequence = 0;
-    private currentRound: PeerRound = { messageBytes: 0, periodMs: leastPeriodMs };
-    private lastSumAtMs = Number.NEGATIVE_INFINITY;
+    private currentRound: PeerRound = { messageBytes: 0, periodMs: minPeriodMs };
+    private lastLoadUpdateAtMs = Number.NEGATIVE_INFINITY;
 
     public constructor(private readonly options: PeerStateOptions) {
         const { own, seedIps, clock } = options;
@@ -88,7 +90,7 @@
         return this.directory.conditions;
     }
 
-    /** How accounts' use at the other routers is known: by an aggregator's sums, or by each router's reports alone. */
+    /** Source of the accounts' usage at the other routers: an aggregator's totals, or only the reports of each router. */
     public get accountSource(): AccountSource {
         const others = this.aggregation.findOthers();
         return {
@@ -102,17 +104,17 @@
         return this.currentRound;
     }
 
-    /** Addresses of the routers known, and of seeds. */
+    /** Addresses of known routers and of seeds. */
     public listAddresses(): readonly string[] {
         return this.directory.listAddresses();
     }
 
-    /** Address of a router that this one has received a message of; undefined: none. */
+    /** Address of a router from which a message was received; undefined without one. */
     public findAddress(routerId: string): string | undefined {
         return this.directory.findAddress(routerId);
     }
 
-    /** The router that sends from this address; undefined: unknown. */
+    /** Id of the router that last sent from this address; undefined if unknown. */
     public findRouter(ip: string): string | undefined {
         return this.directory.findRouter(ip);
     }
@@ -122,10 +124,10 @@
     }
 
     public recordRead(targetHash: number, partId: string, tokens: number): void {
-        this.recentReads.push({ read: { targetHash, partId, tokens }, rounds: 0 });
+        this.recentPrefills.push({ prefill: { targetHash, partId, tokens }, rounds: 0 });
     }
 
-    /** The message of the next round. */
+    /** Creates the message of the next round. */
     public createMessage(): PeerMessage {
         return {
             routerId: this.options.own.routerId,
@@ -135,24 +137,24 @@
             periodMs: this.currentRound.periodMs,
             targets: this.options.listOwnLoads(),
             ...this.options.listOwnAccounts(),
-            reads: this.takeReads(),
+            reads: this.takePrefills(),
             peers: this.takePeers(),
             leaving: this.takeLeaving(),
             condition: this.options.getCondition(),
         };
     }
 
-    /** Takes what the last round sent to each of `addressCount` peers; the time to the next round follows. */
+    /** Records the message size and the number of recipients of the last round, and sets the interval to the next one accordingly. */
     public recordRound(messageBytes: number, addressCount: number): void {
-        const periodMs = Math.max(leastPeriodMs, (addressCount * messageBytes * msPerSecond) / controlBytesPerSecond);
+        const periodMs = Math.max(minPeriodMs, (addressCount * messageBytes * msPerSecond) / controlBytesPerSecond);
         this.currentRound = { messageBytes, periodMs };
-        // Loads that have expired since the last message must not count for ever when no peer sends any more.
+        // Without this, loads that have expired since the last message would be counted forever if no peer sends again.
         this.updateLoads();
     }
 
-    /** This period's messages about accounts; none while rounds to all peers are as frequent. */
+    /** Creates this period's messages for and from aggregators; none while rounds to all peers are about as frequent. */
     public createTotalsMessages(): readonly TotalsSend[] {
-        return this.currentRound.periodMs > mostFreshRoundMs ? this.aggregation.createMessages() : [];
+        return this.currentRound.periodMs > maxDirectRoundMs ? this.aggregation.createMessages() : [];
     }
 
     public applyTotals(senderId: string, message: TotalsMessage): void {
@@ -168,33 +170,33 @@
 
     private updateLoads(): void {
         const nowMs = this.options.clock.nowMs();
-        if (nowMs - this.lastSumAtMs >= leastSumPeriodMs) {
-            this.lastSumAtMs = nowMs;
+        if (nowMs - this.lastLoadUpdateAtMs >= minLoadUpdatePeriodMs) {
+            this.lastLoadUpdateAtMs = nowMs;
             this.options.onDidSumLoads(this.directory.computeLoads());
         }
     }
 
-    /** A few of the known peers by turns, so that all are named within some rounds. */
+    /** Some of the known peers, in rotation, so that a few rounds name all of them. */
     private takePeers(): readonly PeerAddress[] {
         const known = this.directory.listMembers();
-        const start = (this.sequence * peersInMessage) % Math.max(1, known.length);
-        return [...known.slice(start), ...known.slice(0, start)].slice(0, peersInMessage);
+        const start = (this.sequence * maxPeers) % Math.max(1, known.length);
+        return [...known.slice(start), ...known.slice(0, start)].slice(0, maxPeers);
     }
 
-    /** By turns where there are more than one message holds. */
+    /** Leaving targets, in rotation if there are more than fit into one message. */
     private takeLeaving(): readonly LeavingTarget[] {
         const leaving = this.options.listLeaving();
-        const start = leaving.length <= mostLeaving ? 0 : (this.sequence * mostLeaving) % leaving.length;
-        return [...leaving.slice(start), ...leaving.slice(0, start)].slice(0, mostLeaving);
+        const start = leaving.length <= maxLeaving ? 0 : (this.sequence * maxLeaving) % leaving.length;
+        return [...leaving.slice(start), ...leaving.slice(0, start)].slice(0, maxLeaving);
     }
 
-    private takeReads(): readonly PartRead[] {
-        const reported = this.recentReads.slice(0, mostReads);
+    private takePrefills(): readonly PartRead[] {
+        const reported = this.recentPrefills.slice(0, maxPrefills);
         for (const entry of reported) {
             entry.rounds += 1;
         }
-        const left = this.recentReads.filter(entry => entry.rounds < readRounds);
-        this.recentReads.splice(0, this.recentReads.length, ...left);
-        return reported.map(entry => entry.read);
+        const remaining = this.recentPrefills.filter(entry => entry.rounds < roundsPerPrefill);
+        this.recentPrefills.splice(0, this.recentPrefills.length, ...remaining);
+        return reported.map(entry => entry.prefill);
     }
 }
--- a/src/gateway/peers/peerView.ts
+++ b/src/gateway/peers/peerView.ts
@@ -2,32 +2,32 @@
 import type { RouterView } from "../../decisions/limits/coldLimit.js";
 import type { RouterCondition } from "./peerMessage.js";
 
-/** What telling the other routers takes. */
+/** Size of a peer message and the interval between message rounds. */
 export interface PeerRound {
     readonly messageBytes: number;
     readonly periodMs: number;
 }
 
-/** How accounts' use at the other routers is known. */
+/** Source of the accounts' usage at the other routers. */
 export interface AccountSource {
-    /** The router that sums up for this one's data centre; undefined while none is asked. */
+    /** Id of the aggregator for this router's data centre; undefined before the first report to one. */
     readonly aggregator: string | undefined;
-    /** Routers that the newest sums are over; 0 without fresh sums. */
+    /** Number of routers that the newest totals cover; 0 without recent totals. */
     readonly summedRouters: number;
-    /** Mean age of the reports in them; milliseconds. */
+    /** Mean age of the reports in the totals; milliseconds. */
     readonly ageMs: number | undefined;
 }
 
-/** What this router knows of the other routers. */
+/** This router's replicated state of the other routers. */
 export interface PeerView {
     readonly routers: RouterView;
-    /** What accounts asked and got at each of the other routers. */
+    /** Tokens that accounts requested and were served at the other routers; a report may be totals over several routers. */
     readonly accountUses: readonly ReportedRouter[];
     readonly accountSource: AccountSource;
     /** Conditions of the other routers with a recent message, by id. */
     readonly conditions: ReadonlyMap<string, RouterCondition>;
-    /** Bytes of the newest message, and the time from it to the next one. */
+    /** Size of the newest message, and the interval from it to the next one. */
     readonly round: PeerRound;
-    /** Reports to the peers that a target has read a part of a prompt. */
+    /** Reports to the peers that a target has begun to prefill a prompt part. */
     recordRead(targetHash: number, partId: string, tokens: number): void;
 }
--- a/src/gateway/peers/targetLoads.ts
+++ b/src/gateway/peers/targetLoads.ts
@@ -2,31 +2,31 @@
 import type { TargetDirectory } from "../targetDirectory.js";
 import type { PeerMessage, TargetLoad } from "./peerMessage.js";
 
-const noLoad: PeerLoad = { waitingTokens: 0, running: 0 };
+const zeroLoad: PeerLoad = { waitingTokens: 0, running: 0 };
 
-/** Reports what this router has under way at targets, and applies what its peers report. */
+/** Reports this router's load at targets, and applies the loads that its peers report. */
 export class TargetLoads {
     public constructor(private readonly directory: TargetDirectory) {}
 
-    /** What this router has under way, for its next message. */
+    /** This router's current loads, for its next message. */
     public listOwn(): readonly TargetLoad[] {
         return this.directory.listAll().filter(isReported).map(createLoad);
     }
 
-    /** Takes the sums over all peers, by the hash of the target's id. */
+    /** Applies the loads summed over all peers, by the hash of the target's id. */
     public applySums(loads: ReadonlyMap<number, PeerLoad>): void {
         for (const target of this.directory.listAll()) {
-            target.peerLoad = loads.get(target.idHash) ?? noLoad;
+            target.peerLoad = loads.get(target.idHash) ?? zeroLoad;
         }
     }
 
-    /** Takes what a peer's requests wrote into targets' memories. */
+    /** Applies what a peer's requests wrote into targets' caches. */
     public applyMessage({ targets, reads }: PeerMessage): void {
         for (const load of targets) {
             this.directory.findByHash(load.targetHash)?.recordPeerWritten(load.writtenTokens);
         }
-        for (const read of reads) {
-            this.directory.findByHash(read.targetHash)?.recordPart(read.partId, read.tokens);
+        for (const prefill of reads) {
+            this.directory.findByHash(prefill.targetHash)?.recordPart(prefill.partId, prefill.tokens);
         }
     }
 }
--- a/src/gateway/peers/totalsMessage.ts
+++ b/src/gateway/peers/totalsMessage.ts
@@ -5,24 +5,24 @@
 import type { AccountUse } from "../../decisions/shares/accountUse.js";
 import { isAmount, isCount, isName } from "../wireValues.js";
 
-/** A message with sums of accounts can't be decoded. */
+/** A message with totals of accounts can't be decoded. */
 export class TotalsMessageError extends LynxarchError {
     public readonly code = "totals-message-invalid";
 }
 
 /**
- * What the sums are over: the sender alone (to its data centre's aggregator), routers of the sender's data centre (to other
- * aggregators), or the fleet (to routers of the sender's data centre).
+ * Routers that the totals cover: only the sender (sent to its data centre's aggregator), routers of the sender's data centre (sent to
+ * other aggregators), or the fleet (sent to routers of the sender's data centre).
  */
 export type TotalsScope = "router" | "data-centre" | "fleet";
 
-/** Sums of what accounts asked and got, from one router to another. */
+/** Totals of the tokens that accounts requested and were served, sent from one router to another. */
 export interface TotalsMessage {
     readonly scope: TotalsScope;
     readonly totals: AccountTotals;
 }
 
-/** Version of this format; a message of another version has another code and is left aside. */
+/** Identifies the format version. Other versions use other codes, and their messages are dropped. */
 const messageCode = 49;
 const scopes: readonly TotalsScope[] = ["router", "data-centre", "fleet"];
 const wireLength = 6;
@@ -31,12 +31,12 @@
 const encoder = new Encoder();
 const decoder = new Decoder();
 
-/** Whether a datagram carries sums of accounts, by its first bytes: an array whose first entry is the code. */
+/** Whether a datagram holds totals of accounts. Checks only its first two bytes: an array whose first entry is the code. */
 export function isTotalsDatagram(data: Uint8Array): boolean {
     return data.length > 1 && (data[0] & 0xf0) === 0x90 && data[1] === messageCode;
 }
 
-/** A message in MessagePack (https://msgpack.org). */
+/** Encodes a message in MessagePack (https://msgpack.org). */
 export function encodeTotalsMessage({ scope, totals }: TotalsMessage): Uint8Array {
     return encoder.encode([
         messageCode,
@@ -53,16 +53,18 @@
     ]);
 }
 
-/** Decodes a message. Errors: no MessagePack, or of another form or version. */
+/** Decodes a message. Errors: not valid MessagePack, or a layout or version that is not supported. */
 export function decodeTotalsMessage(data: Uint8Array): Result<TotalsMessage, TotalsMessageError> {
     let value: unknown;
     try {
         value = decoder.decode(data);
     } catch (cause) {
-        return err(new TotalsMessageError("no MessagePack", cause));
+        return err(new TotalsMessageError("totals message is not valid MessagePack", cause));
     }
     const message = Array.isArray(value) && value.length === wireLength ? decodeWire(value) : undefined;
-    return message === undefined ? err(new TotalsMessageError("of an unknown form or version")) : ok(message);
+    return message === undefined
+        ? err(new TotalsMessageError("totals message has an unsupported layout or version"))
+        : ok(message);
 }
 
 function decodeWire(wire: readonly unknown[]): TotalsMessage | undefined {
--- a/test/gateway/peers/accountAggregation.test.ts
+++ b/test/gateway/peers/accountAggregation.test.ts
@@ -3,29 +3,29 @@
 import { AccountAggregation, aggregationPeriodMs } from "../../../src/gateway/peers/accountAggregation.js";
 import type { RouterCondition } from "../../../src/gateway/peers/peerMessage.js";
 
-/** Two data centres; the first router of each has the most processor time. */
+/** Two data centres; the first router of each has the largest processor share. */
 const routerIds = ["a-1", "a-2", "a-3", "b-1", "b-2"];
-const servedOfEach = 10;
+const servedPerRouter = 10;
 
 function createCondition(routerId: string): RouterCondition {
     const isLarge = routerId.endsWith("-1");
     return { dataCentre: routerId[0], processorShare: isLarge ? 0.675 : 0.243, utilization: 0, isWithdrawn: false };
 }
 
-/** Routers whose messages arrive at once, but those of silent ones. */
+/** Routers whose messages arrive immediately, except that unresponsive ones send none. */
 class Fleet {
     public readonly clock = new ManualClock();
-    public readonly silent = new Set<string>();
+    public readonly unresponsive = new Set<string>();
     public readonly sent: string[] = [];
     private readonly conditions = new Map(routerIds.map(id => [id, createCondition(id)]));
     private readonly routers = new Map(routerIds.map(id => [id, this.createRouter(id)]));
 
-    /** Lets some periods pass. */
+    /** Runs the given number of aggregation periods. */
     public run(periods: number): void {
         for (let period = 0; period < periods; period++) {
             this.sent.length = 0;
             for (const [senderId, router] of this.routers) {
-                for (const { routerId, message } of this.silent.has(senderId) ? [] : router.createMessages()) {
+                for (const { routerId, message } of this.unresponsive.has(senderId) ? [] : router.createMessages()) {
                     this.sent.push(`${senderId} to ${routerId}: ${message.scope}`);
                     this.routers.get(routerId)?.applyMessage(senderId, message);
                 }
@@ -34,7 +34,7 @@
         }
     }
 
-    /** What a router knows of the others' use of one account. */
+    /** Describes one account's usage at the other routers, as one router has received it. */
     public describeOthers(routerId: string): string {
         const others = this.routers.get(routerId)?.findOthers();
         return others === undefined
@@ -47,7 +47,7 @@
     }
 
     private createRouter(ownId: string): AccountAggregation {
-        const use = { asked: 20, served: servedOfEach, recentlyServed: servedOfEach };
+        const use = { asked: 20, served: servedPerRouter, recentlyServed: servedPerRouter };
         return new AccountAggregation({
             ownId,
             clock: this.clock,
@@ -58,8 +58,8 @@
     }
 }
 
-describe("accounts' use summed up by data centre", () => {
-    it("reaches every router, without its own part", () => {
+describe("accounts' usage aggregated by data centre", () => {
+    it("reaches every router, without that router's own usage", () => {
         const fleet = new Fleet();
         fleet.run(3);
         expect([routerIds.map(id => fleet.describeOthers(id)), fleet.sent]).toMatchInlineSnapshot(`
@@ -85,11 +85,11 @@
         `);
     });
 
-    // Sums of an aggregator that is gone must not be used as if accounts had got nothing since.
-    it("is not used once its aggregator is silent, until another one has taken its place", () => {
+    // Totals of an aggregator that has stopped must not be used as if accounts had been served nothing since.
+    it("is not used once its aggregator is unresponsive, until another one has replaced it", () => {
         const fleet = new Fleet();
         fleet.run(3);
-        fleet.silent.add("a-1");
+        fleet.unresponsive.add("a-1");
         const seen: string[] = [];
         for (const periods of [5, 2, 6]) {
             fleet.run(periods);
@@ -107,8 +107,8 @@
         `);
     });
 
-    // A report of the start before would be taken for a part of what others gave.
-    it("is left aside by a router that has just started, while its earlier report is part of it", () => {
+    // The report of the router's earlier start would be counted as usage at other routers.
+    it("is dropped by a router that has just started, while it includes that router's earlier report", () => {
         const fleet = new Fleet();
         fleet.run(3);
         fleet.startAgain("a-2");
--- a/test/gateway/peers/peerDirectory.test.ts
+++ b/test/gateway/peers/peerDirectory.test.ts
@@ -23,10 +23,10 @@
     };
 }
 
-describe("what is known of peers", () => {
-    // VMs are replaced all day. A router that was only ever named by others, and never heard, must be forgotten as well, or
-    // messages go to thousands of addresses where nobody is.
-    it("forgets routers that were named and never heard", () => {
+describe("the replicated state of peers", () => {
+    // VMs are replaced all day. A router that others named and that never sent a message must be removed as well, or messages
+    // are sent to thousands of unused addresses.
+    it("removes routers that were named and never sent a message", () => {
         const clock = new ManualClock();
         const directory = new PeerDirectory(own, ["10.0.0.9"], clock);
         directory.apply(createMessage({ peers: [{ routerId: "router-3", ip: "10.0.0.3" }] }));
@@ -35,8 +35,9 @@
         expect([before, directory.listAddresses()]).toEqual([["10.0.0.2", "10.0.0.3", "10.0.0.9"], ["10.0.0.9"]]);
     });
 
-    // A VM's address is given to the next one. Forgotten with the earlier router, datagrams of the later one were dropped as unknown.
-    it("keeps an address that a later router uses when the earlier one is forgotten", () => {
+    // A later VM may reuse the address of an earlier one. If the address is removed with the earlier router, datagrams of the later
+    // one are dropped as those of an unknown sender.
+    it("keeps an address that a later router uses when the earlier one is removed", () => {
         const clock = new ManualClock();
         const directory = new PeerDirectory(own, [], clock);
         directory.apply(createMessage({ routerId: "earlier" }));
@@ -49,9 +50,9 @@
         ]);
     });
 
-    // What happened since a peer spoke is estimated from the age of its word; taken for new, accounts that it let in since would
-    // be let in once more everywhere else.
-    it("tells how old accounts' sums are", () => {
+    // Usage since a peer's report is estimated from the report's age. If the report were taken as new, requests that the peer admitted
+    // since would be admitted once more at every other router.
+    it("returns the age of accounts' reports", () => {
         const clock = new ManualClock();
         const directory = new PeerDirectory(own, [], clock);
         directory.apply(createMessage());
@@ -61,10 +62,10 @@
         expect(directory.accountUses.map(router => router.ageMs)).toEqual([350, 50]);
     });
 
-    // Datagrams overtake each other, and a router that was restarted begins to count anew.
-    it("takes no message that is older than the last one, and a restarted router's first one", () => {
+    // Datagrams arrive out of order, and a restarted router begins its sequence anew.
+    it("rejects messages not newer than the last one, and accepts a restarted router's first one", () => {
         const directory = new PeerDirectory(own, [], new ManualClock());
-        const taken = [
+        const accepted = [
             createMessage({ sequence: 5 }),
             createMessage({ sequence: 4 }),
             createMessage({ sequence: 5 }),
@@ -72,10 +73,10 @@
             createMessage({ incarnation: 1, sequence: 9 }),
             createMessage({ routerId: own.routerId, sequence: 9 }),
         ].map(message => directory.apply(message));
-        expect(taken).toEqual([true, false, false, true, false, false]);
+        expect(accepted).toEqual([true, false, false, true, false, false]);
     });
 
-    it("counts on loads only while they are fresh, and on members for longer", () => {
+    it("uses loads only while they are recent, and keeps members for longer", () => {
         const clock = new ManualClock();
         const directory = new PeerDirectory(own, ["10.0.0.1", "10.0.0.2", "10.0.0.7"], clock);
         directory.apply(createMessage());
@@ -105,9 +106,9 @@
         `);
     });
 
-    // A fleet of 27 sends a round each two seconds. Left out as old after a bit more than one, two thirds of what accounts had got
-    // were missing from the sums, and one that had had three times its share was let in before all others.
-    it("counts on what it heard for some rounds, however rare they are", () => {
+    // A fleet of 27 sends a round every two seconds. If reports expired after little more than one second, two thirds of the served
+    // tokens would be missing, and an account with three times its share would be admitted before all others.
+    it("uses reports for several rounds, however infrequent rounds are", () => {
         const clock = new ManualClock();
         const directory = new PeerDirectory(own, [], clock);
         directory.apply(createMessage({ periodMs: 2_000 }));
@@ -117,8 +118,8 @@
         expect([after3, directory.accountUses.length]).toEqual([1, 0]);
     });
 
-    // Read with each request, the lists are kept between changes. One that outlived a change would name routers that are gone.
-    it("follows each message, the seeds and the time", () => {
+    // The lists are read with each request and cached between changes. A stale list would name routers that have stopped.
+    it("updates with each message, with the seeds and with time", () => {
         const clock = new ManualClock();
         const directory = new PeerDirectory(own, ["10.0.0.2", "10.0.0.9"], clock);
         const describeAll = (): string => {
@@ -165,12 +166,12 @@
         `);
     });
 
-    it("survives the wire, and other bytes are an error", () => {
+    it("decodes messages as encoded, and reports other bytes as an error", () => {
         const message = createMessage({ reads: [{ targetHash: 41, partId: "aa", tokens: 7 }] });
         expect(decodePeerMessage(encodePeerMessage(message))._unsafeUnwrap()).toEqual(message);
-        const whole = encodePeerMessage(message);
+        const encoded = encodePeerMessage(message);
         const faults = ["", "{}", '{"id":"a","targets":[[1,2,3]]}', "\u0000"].map(text => Buffer.from(text));
-        const isError = [...faults, whole.subarray(0, -1)].map(data => decodePeerMessage(data).isErr());
+        const isError = [...faults, encoded.subarray(0, -1)].map(data => decodePeerMessage(data).isErr());
         expect(isError).toEqual([true, true, true, true, true]);
     });
 });
--- a/test/gateway/peers/peerMessage.property.test.ts
+++ b/test/gateway/peers/peerMessage.property.test.ts
@@ -42,13 +42,13 @@
 /** Entries that may not be empty. */
 const names = [0, 3];
 
-function decodeChanged(sent: PeerMessage, change: (wire: unknown[]) => void): boolean {
+function isRejected(sent: PeerMessage, change: (wire: unknown[]) => void): boolean {
     const wire = decode(encodePeerMessage(sent)) as unknown[];
     change(wire);
     return decodePeerMessage(encode(wire)).isErr();
 }
 
-/** Values that can't stand where `value` does. */
+/** Values of a type or range that is invalid in the place of `value`. */
 function listWrong(value: unknown, entry: number): readonly unknown[] {
     const others = [undefined, [], {}, new Uint8Array(1), Number.NaN, Number.POSITIVE_INFINITY];
     switch (typeof value) {
@@ -62,7 +62,7 @@
 }
 
 describe("messages between routers", () => {
-    it("survive the wire", () => {
+    it("decode to what was encoded", () => {
         fc.assert(
             fc.property(message, sent => {
                 expect(decodePeerMessage(encodePeerMessage(sent))._unsafeUnwrap()).toEqual(sent);
@@ -71,11 +71,11 @@
         );
     });
 
-    // One value of another kind that is let in becomes "not a number" in the sums of all accounts.
-    it("with one value of another kind are an error", () => {
+    // A single accepted value of a wrong type would turn the totals of all accounts into NaN.
+    it("with a value of a wrong type are an error", () => {
         fc.assert(
             fc.property(message, fc.nat({ max: 11 }), fc.nat(), fc.nat(), (sent, entry, cell, choice) => {
-                const isError = decodeChanged(sent, wire => {
+                const isError = isRejected(sent, wire => {
                     const [holder, key] = lists.includes(entry)
                         ? [wire[entry] as unknown[], cell % (wire[entry] as unknown[]).length]
                         : [wire, entry];
@@ -88,7 +88,7 @@
         );
     });
 
-    it("with a row that is not whole, or an entry too many or too few, are an error", () => {
+    it("with an incomplete row, an extra entry or a missing one are an error", () => {
         fc.assert(
             fc.property(message, fc.constantFrom(...lists), fc.boolean(), (sent, entry, isLonger) => {
                 const updateLength = (values: unknown[]): void => {
@@ -99,9 +99,9 @@
                     }
                 };
                 expect([
-                    decodeChanged(sent, updateLength),
-                    decodeChanged(sent, wire => updateLength(wire[entry] as unknown[])),
-                    decodeChanged(sent, wire => {
+                    isRejected(sent, updateLength),
+                    isRejected(sent, wire => updateLength(wire[entry] as unknown[])),
+                    isRejected(sent, wire => {
                         wire[entry] = isLonger ? {} : "";
                     }),
                 ]).toEqual([true, true, true]);
@@ -110,14 +110,14 @@
         );
     });
 
-    // A datagram can hold anything: cut short, or changed on the way.
-    it("that can't be read are an error and never raise", () => {
+    // A datagram can hold anything: truncated, or corrupted.
+    it("that can't be decoded are an error and never throw", () => {
         const changed = fc
             .tuple(message, fc.nat(), fc.nat({ max: 255 }), fc.boolean())
-            .map(([sent, place, byte, isCut]) => {
+            .map(([sent, position, byte, isTruncated]) => {
                 const data = Buffer.from(encodePeerMessage(sent));
-                data[place % data.length] = byte;
-                return isCut ? data.subarray(0, place % data.length) : data;
+                data[position % data.length] = byte;
+                return isTruncated ? data.subarray(0, position % data.length) : data;
             });
         fc.assert(
             fc.property(fc.oneof(changed, fc.uint8Array({ maxLength: 200 })), data => {
--- a/test/gateway/peers/peerState.test.ts
+++ b/test/gateway/peers/peerState.test.ts
@@ -5,8 +5,8 @@
 const leavingCount = 250;
 const rounds = 3;
 
-// A large fleet is replaced: more targets leave than one message names, and those beyond would never be reported.
-it("reports all leaving targets within some rounds", () => {
+// When a large fleet is replaced, more targets leave than fit into one message. Without rotation the others would never be reported.
+it("reports all leaving targets within several rounds", () => {
     const leaving = Array.from({ length: leavingCount }, (...[, targetHash]) => ({ targetHash, startedAtMs: 1 }));
     const state = new PeerState({
         own: { routerId: "router-1", ip: "10.0.0.1" },
--- a/test/gateway/peers/totalsMessage.property.test.ts
+++ b/test/gateway/peers/totalsMessage.property.test.ts
@@ -25,8 +25,8 @@
 });
 const runs = { seed: 5, numRuns: 300 };
 
-describe("a message with sums of accounts", () => {
-    it("is read as it was written, and is no message of another kind", () => {
+describe("a message with totals of accounts", () => {
+    it("decodes to what was encoded, and is not taken for a grant message", () => {
         fc.assert(
             fc.property(message, sent => {
                 const data = encodeTotalsMessage(sent);
@@ -38,15 +38,15 @@
         );
     });
 
-    // Datagrams of anybody who reaches the port are decoded.
-    it("that is cut or changed is an error, and never throws", () => {
+    // Any sender that reaches the port can have its datagrams decoded.
+    it("that is truncated is an error, and a corrupted one never throws", () => {
         fc.assert(
-            fc.property(message, fc.nat(), fc.nat({ max: 255 }), (sent, at, byte) => {
+            fc.property(message, fc.nat(), fc.nat({ max: 255 }), (sent, position, byte) => {
                 const data = encodeTotalsMessage(sent);
                 const changed = Uint8Array.from(data);
-                changed[at % data.length] = byte;
+                changed[position % data.length] = byte;
                 decodeTotalsMessage(changed);
-                expect(decodeTotalsMessage(data.subarray(0, at % data.length)).isErr()).toBe(true);
+                expect(decodeTotalsMessage(data.subarray(0, position % data.length)).isErr()).toBe(true);
             }),
             runs,
         );
