--- a/src/gateway/quarantine/crashMessage.ts
+++ b/src/gateway/quarantine/crashMessage.ts
@@ -9,17 +9,19 @@
     public readonly code = "crash-message-invalid";
 }
 
-/** What routers report to one another of requests that end targets. */
+/** Report between routers on requests that crash targets. */
 export interface CrashMessage {
+    /** Crashes, each with the request that may have caused it. */
     readonly evidence: readonly CrashEvidence[];
-    /** Digests of requests that a target answered as a whole, or that an operator released. */
+    /** Digests of requests that received a complete response from a target, or that an operator released. */
     readonly cleared: readonly string[];
 }
 
-/** Version of this format; a message of another version has another code and is left aside. */
+/** Identifies the format version. Other versions use other codes, and their messages are dropped. */
 const messageCode = 33;
-/** Entries of one message; keeps it below the size at which networks fragment datagrams many times over. */
+/** Maximum number of entries of each list in a message. Limits its size, so that networks don't split it into many fragments. */
 export const mostEntries = 40;
+/** Weights are sent as whole hundredths. */
 const weightScale = 100;
 
 const hash = z.number().int().min(0).max(0xffffffff);
@@ -30,12 +32,12 @@
     z.array(digest).max(mostEntries),
 ]);
 
-/** Whether a datagram carries a report of crashes, by its first bytes: an array whose first entry is the code. */
+/** Whether a datagram holds a report of crashes. Checks only its first two bytes: an array whose first entry is the code. */
 export function isCrashDatagram(data: Uint8Array): boolean {
     return data.length > 1 && (data[0] & 0xf0) === 0x90 && data[1] === messageCode;
 }
 
-/** A message in MessagePack (https://msgpack.org). */
+/** Encodes a message in MessagePack (https://msgpack.org). */
 export function encodeCrashMessage({ evidence, cleared }: CrashMessage): Uint8Array {
     const wire: z.input<typeof wireSchema> = [
         messageCode,
@@ -50,17 +52,17 @@
     return encode(wire);
 }
 
-/** Decodes a message. Errors: no MessagePack, or of another form or version. */
+/** Decodes a message. Errors: not valid MessagePack, or a layout or version that is not supported. */
 export function decodeCrashMessage(data: Uint8Array): Result<CrashMessage, CrashMessageError> {
     let value: unknown;
     try {
         value = decode(data);
     } catch (cause) {
-        return err(new CrashMessageError("no MessagePack", cause));
+        return err(new CrashMessageError("crash message is not valid MessagePack", cause));
     }
     const parsed = wireSchema.safeParse(value);
     if (!parsed.success) {
-        return err(new CrashMessageError("of an unknown form or version", parsed.error));
+        return err(new CrashMessageError("crash message has an unsupported layout or version", parsed.error));
     }
     const [, rows, cleared] = parsed.data;
     const evidence = rows.map(([entryDigest, prefixHash, incarnation, weight]) => ({
--- a/src/gateway/quarantine/crashReports.ts
+++ b/src/gateway/quarantine/crashReports.ts
@@ -3,15 +3,15 @@
 import type { CrashEvidence } from "../../decisions/quarantine/crashLedger.js";
 import { mostEntries, type CrashMessage } from "./crashMessage.js";
 
-/** Sends a message to all routers that are known. */
+/** Sends a message to all known routers. */
 export interface CrashTransport {
     sendToAll(message: CrashMessage): void;
 }
 
-/** When a report is sent; repeated, as datagrams are lost, and routers that are too slow for one moment read late. Milliseconds. */
-const sendAtMs = [0, 100, 400, 1_500] as const;
+/** Delays at which a report is sent; milliseconds. It is repeated because datagrams get lost, and because a router under a short overload may drop one. */
+const sendDelaysMs = [0, 100, 400, 1_500] as const;
 
-/** Reports crashes to the other routers, each several times. */
+/** Sends reports of crashes to the other routers, each several times. */
 export class CrashReports implements Disposable {
     private readonly timers = new Set<Disposable>();
 
@@ -36,12 +36,12 @@
     }
 
     private sendRepeatedly(message: CrashMessage): void {
-        for (const atMs of sendAtMs) {
-            if (atMs === 0) {
+        for (const delayMs of sendDelaysMs) {
+            if (delayMs === 0) {
                 this.transport.sendToAll(message);
                 continue;
             }
-            const timer = this.setTimer(atMs, () => {
+            const timer = this.setTimer(delayMs, () => {
                 this.timers.delete(timer);
                 this.transport.sendToAll(message);
             });
--- a/src/gateway/quarantine/heldRequestsApi.ts
+++ b/src/gateway/quarantine/heldRequestsApi.ts
@@ -8,19 +8,20 @@
 import { fetchBounded } from "../../control/boundedFetch.js";
 import type { HeldRequest } from "../../decisions/quarantine/crashLedger.js";
 
-/** A router did not answer an operator's call about held requests. */
+/** An operator's call about held requests failed. */
 export class HeldRequestsError extends LynxarchError {
     public readonly code = "held-requests-failed";
 }
 
-/** What the calls act on. */
+/** The held requests of a router, on which the calls act. */
 export interface HeldRequests {
     listHeld(): readonly HeldRequest[];
-    /** Lets a request run again, at all routers; false: nothing is known of it. */
+    /** Allows a request to run again at all routers; false: the router has no evidence against it. */
     release(digest: string): boolean;
 }
 
 const endpoint = "/held";
+/** Time-out of a call; milliseconds. */
 const callTimeoutMs = 3_000;
 const digestSchema = z.string().regex(/^[0-9a-f]{32}$/, "must be 32 hexadecimal digits");
 const heldSchema = z.array(
@@ -39,7 +40,7 @@
     release: trpc.procedure.input(digestSchema).mutation(({ ctx, input }) => ctx.requests.release(input)),
 });
 
-/** Builds the app that operators list and release held requests with. */
+/** Creates the app through which operators list and release held requests. */
 export function createHeldRequestsApp(requests: HeldRequests): Hono {
     const app = new Hono();
     app.all(`${endpoint}/*`, context =>
@@ -53,20 +54,20 @@
     return app;
 }
 
-/** Requests that a router holds. Errors: no answer in time, or one of another form. */
+/** Fetches the requests that a router holds. Errors: no response in time, or an invalid one. */
 export function fetchHeldRequests(address: string): ResultAsync<readonly HeldRequest[], HeldRequestsError> {
-    const answer = createClient(address)
+    const response = createClient(address)
         .list.query(undefined, { signal: AbortSignal.timeout(callTimeoutMs) })
         .then(value => heldSchema.parse(value));
-    return ResultAsync.fromPromise(answer, toError);
+    return ResultAsync.fromPromise(response, toError);
 }
 
-/** Releases a request at one router, which reports it to the others; false: it is not known there. Errors: as above. */
+/** Releases a request at one router, which reports the release to the others; false: that router has no evidence against it. Errors: no response in time, or an invalid one. */
 export function releaseHeldRequest(address: string, digest: string): ResultAsync<boolean, HeldRequestsError> {
-    const answer = createClient(address)
+    const response = createClient(address)
         .release.mutate(digest, { signal: AbortSignal.timeout(callTimeoutMs) })
         .then(value => z.boolean().parse(value));
-    return ResultAsync.fromPromise(answer, toError);
+    return ResultAsync.fromPromise(response, toError);
 }
 
 function createClient(address: string): ReturnType<typeof createTRPCClient<typeof heldRouter>> {
--- a/src/gateway/quarantine/quarantine.ts
+++ b/src/gateway/quarantine/quarantine.ts
@@ -21,18 +21,18 @@
 import type { RequestIdentity } from "./requestIdentity.js";
 import type { TargetProbe } from "./targetProbe.js";
 
-/** Whether a request may run now. */
+/** Whether a request may run now, and whether it holds a run permit. */
 export type Turn =
-    /** Nothing speaks against it. */
+    /** It is not a suspect, and needs no permit. */
     | "free"
-    /** It is under suspicion, and may run; {@link Quarantine.endTurn} must follow. */
+    /** It is a suspect and holds a permit, which {@link Quarantine.endTurn} must release. */
     | "taken"
-    /** It is under suspicion, and runs already or has its place at another router. */
+    /** It is a suspect, and runs already or may only run at another router. */
     | "busy"
-    /** It must not run. */
+    /** It is held and must not run. */
     | "held";
 
-/** What a {@link Quarantine} needs. */
+/** Dependencies of a {@link Quarantine}. */
 export interface QuarantineOptions {
     readonly ownId: string;
     readonly peers: Pick<PeerView, "routers">;
@@ -45,16 +45,17 @@
     readonly logger: Logger;
 }
 
+/** Interval between attempts to read the held requests. */
 const readRetryMs = 1_000;
 
-/** Recognizes requests that end the targets that run them, and keeps them from further targets. */
+/** Detects requests that crash the targets that run them, and stops sending them to further targets. */
 export class Quarantine implements Disposable {
     private readonly store = new DisposableStore();
     private readonly lifetime = this.store.add(new CancellationTokenSource());
     private readonly ledger = new CrashLedger();
     private readonly reports: CrashReports;
     private readonly owners: TargetOwners;
-    /** Requests under suspicion that this router runs just now. */
+    /** Digests of suspect requests that this router currently runs. */
     private readonly running = new Set<string>();
 
     public constructor(private readonly options: QuarantineOptions) {
@@ -62,7 +63,7 @@
         this.owners = new TargetOwners(() => options.peers.routers.routerIds);
     }
 
-    /** Reads what was held before this process started; goes on trying while the store is away. */
+    /** Reads the requests that were held before this process started; retries while the store is unavailable. */
     public async load(): Promise<void> {
         const { records, clock, sleep, logger } = this.options;
         const { token } = this.lifetime;
@@ -75,14 +76,15 @@
                 }
                 return;
             }
-            logger.write("warn", "held requests can't be read yet", { detail: found.error.message });
+            logger.write("warn", "reading the held requests failed; will be retried", { detail: found.error.message });
             await sleep(readRetryMs, token);
         }
     }
 
     /**
-     * Whether the request may run now. Ids of one such request come to several routers at the same moment, and each would end a
-     * target before the first crash is known: under suspicion it runs once at a time, and at one router only before it would be held.
+     * Decides whether the request may run now. The same request may arrive at several routers at the same moment under different ids,
+     * and each copy would crash a target before the first crash is reported. A suspect therefore runs only once at a time at each
+     * router, and at a single router once one more crash would hold it.
      */
     public takeTurn(identity: RequestIdentity): Turn {
         if (!this.ledger.hasPrefix(identity.prefixHash)) {
@@ -90,22 +92,22 @@
         }
         const nowMs = this.options.clock.nowMs();
         const { digest } = identity;
-        const standing = this.ledger.check(digest, nowMs);
-        if (standing === "clear") {
+        const status = this.ledger.check(digest, nowMs);
+        if (status === "clear") {
             return "free";
         }
-        if (standing === "held") {
+        if (status === "held") {
             return "held";
         }
-        const isHere = standing === "suspect" || this.owners.find(hashFast(digest), nowMs) === this.options.ownId;
-        if (!isHere || this.running.has(digest)) {
-            return standing === "probe" ? "held" : "busy";
+        const isOwnedHere = status === "suspect" || this.owners.find(hashFast(digest), nowMs) === this.options.ownId;
+        if (!isOwnedHere || this.running.has(digest)) {
+            return status === "probe" ? "held" : "busy";
         }
         this.running.add(digest);
         return "taken";
     }
 
-    /** Whether the request is held now. */
+    /** Whether the request is currently held. */
     public isHeld(identity: RequestIdentity): boolean {
         return (
             this.ledger.hasPrefix(identity.prefixHash) &&
@@ -113,10 +115,10 @@
         );
     }
 
-    /** A target broke off the request. Resolves once it is known whether the target has ended; evidence is recorded by then. */
+    /** Handles a disconnect by the target. Resolves once the target has been probed; if it has crashed, the evidence is recorded by then. */
     public async observeBreak(identity: RequestIdentity, target: Target, hadOutput: boolean): Promise<void> {
         const { probe, clock, logger } = this.options;
-        // A target that leaves ends by itself, and takes with it what is not done.
+        // A leaving target stops as planned and disconnects unfinished requests, so that it is no evidence.
         if (target.availability.leaving !== undefined || !(await probe.hasEnded(target.entry.address))) {
             return;
         }
@@ -126,25 +128,25 @@
         const evidence = { digest, prefixHash, incarnation, weight };
         const isHeldNow = this.ledger.record(evidence, clock.nowMs());
         this.reports.sendEvidence([evidence]);
-        logger.write("warn", "a target ended under a request", { target: target.id, digest, weight });
+        logger.write("warn", "a target crashed while it ran a request", { target: target.id, digest, weight });
         if (isHeldNow) {
             this.recordHeld(digest);
         }
     }
 
-    /** A target answered the request as a whole. */
+    /** Clears the request after a complete response from a target. */
     public observeAnswer(identity: RequestIdentity): void {
         if (this.ledger.hasPrefix(identity.prefixHash)) {
             this.release(identity.digest);
         }
     }
 
-    /** A run that took its turn is over. */
+    /** Releases the permit of a suspect's run. */
     public endTurn(identity: RequestIdentity): void {
         this.running.delete(identity.digest);
     }
 
-    /** Lets a request run again; false: nothing is known of it. */
+    /** Allows a request to run again; false: there is no evidence against it. */
     public release(digest: string): boolean {
         const { clock, records, logger } = this.options;
         const wasHeld = this.ledger.findHeld(digest, clock.nowMs()) !== undefined;
@@ -153,19 +155,20 @@
         }
         this.reports.sendCleared(digest);
         if (wasHeld) {
-            logger.write("info", "a request is not held any more", { digest });
+            logger.write("info", "a request is no longer held", { digest });
             void records.remove(digest, this.lifetime.token);
         }
         return true;
     }
 
+    /** Applies a report of crashes from another router. */
     public applyMessage({ evidence, cleared }: CrashMessage): void {
         const nowMs = this.options.clock.nowMs();
         evidence.forEach((entry: CrashEvidence) => this.ledger.record(entry, nowMs));
         cleared.forEach(digest => this.ledger.remove(digest, nowMs));
     }
 
-    /** Writes the records that may be lost with what the store wrote last; one router for each request. */
+    /** Writes the records again after the store may have lost its latest writes. Only one router writes each of them. */
     public writeHeldAgain(): void {
         const { clock, ownId } = this.options;
         const nowMs = clock.nowMs();
@@ -185,7 +188,7 @@
         this.store.dispose();
     }
 
-    /** Only the router that saw the deciding crash writes the record: one call for each time that a request is held. */
+    /** Writes the record of a request that has just been held. Only the router that observed the deciding crash does so, which is one call for each time. */
     private recordHeld(digest: string): void {
         const held = this.ledger.findHeld(digest, this.options.clock.nowMs());
         if (held === undefined) {
@@ -193,7 +196,7 @@
         }
         const { incarnations, holdMs } = held;
         const targets = incarnations.length;
-        this.options.logger.write("error", "a request that ends targets is held", { digest, targets, holdMs });
+        this.options.logger.write("error", "a request that crashes targets is now held", { digest, targets, holdMs });
         this.writeRecord(held);
     }
 
@@ -203,7 +206,7 @@
         void records
             .write({ digest, prefixHash, incarnations, heldUntil, holdMs }, this.lifetime.token)
             .mapErr(error => {
-                logger.write("warn", "a held request can't be stored", { digest, detail: error.message });
+                logger.write("warn", "storing a held request failed", { digest, detail: error.message });
             });
     }
 }
--- a/src/gateway/quarantine/requestIdentity.ts
+++ b/src/gateway/quarantine/requestIdentity.ts
@@ -4,12 +4,14 @@
 const digestBytes = 16;
 
 /**
- * What makes a request the same one when it comes again: account, method, path and body. Its id, its deadline and where a stream is
- * resumed change from one attempt to the next. The digest is cryptographic, so that nobody can forge another account's request.
+ * Identifies repeats of the same request by account, method, path and body. Request id, deadline and the position at which a stream
+ * resumes are not part of it, as they change between attempts. The digest is cryptographic, so that no caller can create a request
+ * with the digest of another account's request.
  */
 export class RequestIdentity {
+    /** 32-bit hash of account, method and URL. */
     public readonly prefixHash: number;
-    private computed: string | undefined;
+    private cachedDigest: string | undefined;
 
     public constructor(
         private readonly account: string | undefined,
@@ -20,14 +22,14 @@
         this.prefixHash = hashFast(JSON.stringify([account ?? "", method, url]));
     }
 
-    /** Computed at first use, as nearly all requests need none. */
+    /** Hash over account, method, URL and body, as 32 hexadecimal digits. Computed on first access, as nearly all requests need none. */
     public get digest(): string {
-        this.computed ??= createHash("sha256")
+        this.cachedDigest ??= createHash("sha256")
             .update(JSON.stringify([this.account ?? "", this.method, this.url]))
             .update(this.body ?? "")
             .digest()
             .subarray(0, digestBytes)
             .toString("hex");
-        return this.computed;
+        return this.cachedDigest;
     }
 }
--- a/src/gateway/quarantine/requestWatch.ts
+++ b/src/gateway/quarantine/requestWatch.ts
@@ -3,28 +3,28 @@
 import type { Quarantine } from "./quarantine.js";
 import type { RequestIdentity } from "./requestIdentity.js";
 
-/** Asks the quarantine for one request, and reports to it how its attempts end. */
+/** Requests run permits from the quarantine for one request, and reports the outcomes of its attempts to the quarantine. */
 export class RequestWatch {
-    private hasTurn = false;
+    private hasRunPermit = false;
 
     public constructor(
         private readonly quarantine: Quarantine,
         private readonly identity: RequestIdentity,
     ) {}
 
-    /** Whether the request may run; {@link end} must follow. */
+    /** Decides whether the request may run. {@link end} must be called afterwards. */
     public start(): "run" | "busy" | "held" {
-        const turn = this.quarantine.takeTurn(this.identity);
-        this.hasTurn = turn === "taken";
-        return turn === "free" || turn === "taken" ? "run" : turn;
+        const permit = this.quarantine.takeTurn(this.identity);
+        this.hasRunPermit = permit === "taken";
+        return permit === "free" || permit === "taken" ? "run" : permit;
     }
 
     /** Whether the request may be sent to a further target. */
     public get mayRepeat(): boolean {
-        return this.hasTurn ? !this.quarantine.isHeld(this.identity) : this.start() === "run";
+        return this.hasRunPermit ? !this.quarantine.isHeld(this.identity) : this.start() === "run";
     }
 
-    /** Resolves once it is known what the outcome says of the request. */
+    /** Reports an attempt's outcome. Resolves once the quarantine has evaluated it. */
     public async observe(outcome: AttemptOutcome, target: Target, hadOutput: boolean): Promise<void> {
         if (outcome.kind === "answered") {
             this.quarantine.observeAnswer(this.identity);
@@ -33,10 +33,10 @@
         }
     }
 
-    /** The request's attempts are over. */
+    /** Releases the run permit, if any, after the last attempt. */
     public end(): void {
-        if (this.hasTurn) {
-            this.hasTurn = false;
+        if (this.hasRunPermit) {
+            this.hasRunPermit = false;
             this.quarantine.endTurn(this.identity);
         }
     }
--- a/src/gateway/quarantine/targetProbe.ts
+++ b/src/gateway/quarantine/targetProbe.ts
@@ -1,22 +1,22 @@
 import { connect } from "node:net";
 
-/** Longest wait for a connection; a caller waits for it before its stream is resumed. */
+/** Time-out of the connection attempt; milliseconds. It delays the resumption of a caller's stream. */
 const probeTimeoutMs = 150;
 
-/** Finds out whether a target's process has ended. */
+/** Detects whether a target's process has ended. */
 export interface TargetProbe {
-    /** `address`: `IP:PORT`. False also if that can't be known. */
+    /** Whether the process at `address` (`IP:PORT`) has ended; false also if that can't be determined. */
     hasEnded(address: string): Promise<boolean>;
 }
 
 /**
- * Connects to the target. A refused connection means that its process is gone. A reset link, a data centre that is cut off or a
- * target that closes connections breaks requests as well, but connects, or does not answer.
+ * Probes a target by connecting to it. A refused connection means that its process has ended. Requests are also disconnected by a
+ * reset link, an unreachable data centre or a target that closes connections, but then the probe connects or times out.
  */
 export class ConnectProbe implements TargetProbe {
     private readonly pending = new Map<string, Promise<boolean>>();
 
-    /** Breaks of one target come together; they share one connection. */
+    /** Disconnects of a target occur together, so that concurrent calls for the same address share one probe. */
     public hasEnded(address: string): Promise<boolean> {
         let probe = this.pending.get(address);
         if (probe === undefined) {
--- a/test/gateway/crashMessage.property.test.ts
+++ b/test/gateway/crashMessage.property.test.ts
@@ -6,7 +6,7 @@
 const hash = fc.integer({ min: 0, max: 0xffffffff });
 const weight = fc.constantFrom(0.5, 1);
 
-it("reads reports of crashes as they were written", () => {
+it("decodes reports of crashes to what was encoded", () => {
     const evidence = fc.array(fc.record({ digest, prefixHash: hash, incarnation: hash, weight }), { maxLength: 40 });
     fc.assert(
         fc.property(evidence, fc.array(digest, { maxLength: 40 }), (entries, cleared) => {
--- a/test/gateway/crashingRequests.test.ts
+++ b/test/gateway/crashingRequests.test.ts
@@ -4,7 +4,7 @@
 
 const fixture = { current: new GatewayFixture() };
 const fatalBody = "ends whoever runs it";
-/** News of a crash has reached all routers by then. */
+/** Time after which all routers have received the report of a crash. */
 const settleMs = 300;
 
 beforeEach(async () => {
@@ -31,7 +31,7 @@
     const headers = createPromptHeaders(id);
     const answer = await fixture.current.send({ path, headers, body: fatalBody }, router);
     await new Promise(resolve => setTimeout(resolve, settleMs));
-    // Their heartbeats are missing.
+    // The platform removes crashed targets, as their heartbeats are missing.
     for (const target of fixture.current.targets.filter(({ hasEnded }) => hasEnded)) {
         fixture.current.store.write("keyed.servers", target.instanceId, undefined);
     }
@@ -42,9 +42,9 @@
     return fixture.current.targets.filter(target => target.hasEnded).length;
 }
 
-describe("a request that ends each target that runs it", () => {
-    // Each id of it has its own bound on attempts: it comes again with new ids at all routers and ends one target after the other.
-    it("is refused by all routers once three targets have ended under it", async () => {
+describe("a request that crashes each target that runs it", () => {
+    // The limit on attempts applies to each request id, so that repeats with new ids at all routers crash one target after the other.
+    it("is refused by all routers once it has crashed three targets", async () => {
         await startFleet(8, 2);
         for (let index = 0; index < 4; index++) {
             await sendFatal(`fatal-${index}`, index % 2);
@@ -52,8 +52,8 @@
         expect(countEnded()).toBe(3);
     });
 
-    // Each router that has one under way when the first crash is known goes on; sent on freely, one for each id would end a target.
-    it("runs at one place at a time once two targets have ended under it", async () => {
+    // The request runs at several routers when the first crash is reported. Without run permits each id would crash a further target.
+    it("runs at one router at a time once it has crashed two targets", async () => {
         await startFleet(8, 3);
         await sendFatal("fatal-1", 0, "/once/x");
         await sendFatal("fatal-2", 1, "/once/x");
@@ -71,8 +71,8 @@
         expect(answers.filter(({ status }) => status === 503).length).toBeGreaterThanOrEqual(4);
     });
 
-    // What routers know of it is in their memory alone; all restarted, they would learn it by three further crashes.
-    it("stays refused where all routers are started anew", async () => {
+    // Without the stored record the evidence is only in the routers' memory; restarted, they would need three further crashes.
+    it("stays refused after a restart of all routers", async () => {
         await startFleet(8, 1);
         await sendFatal("fatal-1", 0);
         await sendFatal("fatal-2", 0);
@@ -82,8 +82,8 @@
         expect({ status: answer.status, ended: countEnded() }).toEqual({ status: 502, ended: 3 });
     });
 
-    // The store comes back from a copy without the record; routers that start later would learn it by three crashes again.
-    it("stays refused where the store lost its record and all routers are started anew", async () => {
+    // The store is restored from a copy without the record; routers that start later would need three further crashes.
+    it("stays refused after the store lost its record and all routers restarted", async () => {
         await startFleet(8, 1);
         await sendFatal("fatal-1", 0);
         await sendFatal("fatal-2", 0);
@@ -95,7 +95,7 @@
         expect({ status: answer.status, ended: countEnded() }).toEqual({ status: 502, ended: 3 });
     });
 
-    // Operators know that its cause is mended, and the next trial is minutes away.
+    // The cause of the crashes is fixed, but the next trial would only take place minutes later.
     it("runs again at all routers once an operator has released it", async () => {
         await startFleet(8, 2);
         await sendFatal("fatal-1", 0);
@@ -117,7 +117,7 @@
         });
     });
 
-    it("gets a final answer that says why, and no time to come back", async () => {
+    it("receives a final response with the reason, and without a Retry-After header", async () => {
         await startFleet(6, 1);
         await sendFatal("fatal-1", 0);
         await sendFatal("fatal-2", 0);
@@ -136,7 +136,7 @@
         `);
     });
 
-    it("leaves others of the same account and path alone", async () => {
+    it("does not affect other requests of the same account and path", async () => {
         await startFleet(6, 1);
         await sendFatal("fatal-1", 0);
         await sendFatal("fatal-2", 0);
@@ -146,9 +146,9 @@
     });
 });
 
-describe("a request whose connections are reset by targets that go on", () => {
-    // A reset link looks like a crash to the request; held for it, callers would be refused after a fault of the network.
-    it("is served in the end, though more targets broke it off than a request is held for", async () => {
+describe("a request whose connections are reset by targets that continue to run", () => {
+    // A reset link looks like a crash. If the request were held for it, a network fault would cause refusals.
+    it("is eventually served, although it was disconnected more often than it takes to hold a request", async () => {
         const target = await fixture.current.addTarget("engines", "engine-1");
         await fixture.current.addRouter();
         target.scripts.push("break-off", "break-off", "break-off", "break-off");
