--- a/src/gateway/grants/grantClient.ts
+++ b/src/gateway/grants/grantClient.ts
@@ -21,15 +21,15 @@
     readonly account: string | undefined;
     /** Tokens that are charged against the account's share. */
     readonly chargedTokens: number;
-    readonly bounds: Pick<PromptBounds, "mostWaitMs" | "mostUse">;
+    readonly bounds: Pick<PromptBounds, "maxWaitMs" | "maxUsage">;
     /** Window over which the engine's limit applies; milliseconds. */
-    readonly spanMs: number;
+    readonly windowMs: number;
 }
 
 /** A granted send. Its progress is reported to the engine's owner. */
 export interface Grant {
     /** Fraction of the engine's prefill time in the window that is granted, this send included. */
-    readonly use: number;
+    readonly usage: number;
     report(progress: GrantProgress): void;
 }
 
@@ -51,7 +51,7 @@
     readonly ownId: string;
     readonly incarnation: number;
     readonly owners: TargetOwners;
-    readonly ownBooks: GrantOwner;
+    readonly localOwner: GrantOwner;
     readonly transport: GrantTransport;
     readonly clock: Clock;
     readonly setTimer: SetTimer;
@@ -79,7 +79,7 @@
 
     /** Requests a grant from the engine's owner. Calls `handleOutcome` exactly once unless the client is disposed first. */
     public submit(demand: GrantDemand, handleOutcome: (outcome: GrantOutcome) => void): void {
-        const { ownId, owners, ownBooks, transport, clock, setTimer } = this.options;
+        const { ownId, owners, localOwner: ownBooks, transport, clock, setTimer } = this.options;
         const request = this.createRequest(demand, false);
         const ownerId = owners.find(request.targetHash, clock.nowMs());
         if (ownerId === ownId) {
@@ -99,7 +99,7 @@
 
     /** Records a send that does not depend on the owner's decision, such as one to a second engine. Undefined: the owner can't be reached. */
     public record(demand: GrantDemand): Grant | undefined {
-        const { ownId, owners, ownBooks, transport, clock } = this.options;
+        const { ownId, owners, localOwner: ownBooks, transport, clock } = this.options;
         const request = this.createRequest(demand, true);
         const ownerId = owners.find(request.targetHash, clock.nowMs());
         if (ownerId === ownId) {
@@ -112,7 +112,7 @@
 
     public applyReply(senderId: string, reply: GrantReply): void {
         const pending = this.pending.get(reply.grantId);
-        this.options.owners.recordAnswer(senderId);
+        this.options.owners.recordReply(senderId);
         if (pending === undefined || pending.ownerId !== senderId) {
             return;
         }
@@ -135,7 +135,7 @@
         }
         const { owners, clock } = this.options;
         this.pending.delete(grantId);
-        owners.recordSilence(pending.ownerId, clock.nowMs());
+        owners.recordTimeout(pending.ownerId, clock.nowMs());
         // A slow owner may still grant the request, which would take capacity from other requests until the grant expires.
         this.createGrant({ grantId, targetHash: pending.targetHash }, pending.ownerId, 0).report("not-run");
         pending.handleOutcome({ kind: "unanswered" });
@@ -156,10 +156,10 @@
             outputTokens: demand.outputTokens,
             accountHash: demand.account === undefined ? 0 : hashFast(demand.account),
             chargedTokens: demand.chargedTokens,
-            mostWaitMs: demand.bounds.mostWaitMs,
-            mostUse: demand.bounds.mostUse,
-            spanMs: demand.spanMs,
-            isBinding,
+            maxWaitMs: demand.bounds.maxWaitMs,
+            maxUsage: demand.bounds.maxUsage,
+            windowMs: demand.windowMs,
+            isUnconditional: isBinding,
         };
     }
 
@@ -170,7 +170,7 @@
         return reply.granted
             ? {
                   kind: "granted",
-                  grant: this.createGrant({ ...request, grantId: reply.grantId }, ownerId, reply.use),
+                  grant: this.createGrant({ ...request, grantId: reply.grantId }, ownerId, reply.usage),
                   reply,
               }
             : { kind: "denied", reply };
@@ -181,9 +181,9 @@
         ownerId: string,
         use: number,
     ): Grant {
-        const { ownId, incarnation, ownBooks, transport } = this.options;
+        const { ownId, incarnation, localOwner: ownBooks, transport } = this.options;
         return {
-            use,
+            usage: use,
             report: progress => {
                 const report = { kind: "report", grantId, incarnation, targetHash, progress } as const;
                 if (ownerId === ownId) {
--- a/src/gateway/grants/grantMessage.ts
+++ b/src/gateway/grants/grantMessage.ts
@@ -1,7 +1,7 @@
 import { Decoder, Encoder } from "@msgpack/msgpack";
 import { err, ok, type Result } from "neverthrow";
 import { LynxarchError } from "../../base/errors.js";
-import { isCount, isName } from "../wireValues.js";
+import { isCount, isNonEmptyString } from "../wireValues.js";
 import type { PromptPart } from "../wire.js";
 
 /** A message about a grant can't be decoded. */
@@ -31,13 +31,13 @@
     /** Tokens that are charged against the account's share. */
     readonly chargedTokens: number;
     /** Maximum time to wait for prompts queued before this one; milliseconds. */
-    readonly mostWaitMs: number;
+    readonly maxWaitMs: number;
     /** Maximum fraction of the engine's limit that may be in use; above 1 it may exceed the limit. */
-    readonly mostUse: number;
+    readonly maxUsage: number;
     /** Window over which the limit applies; milliseconds, at least 1. */
-    readonly spanMs: number;
+    readonly windowMs: number;
     /** Whether the prompt is sent regardless of the owner's decision, so that the owner records it in any case. */
-    readonly isBinding: boolean;
+    readonly isUnconditional: boolean;
 }
 
 /** The owner's reply. */
@@ -50,11 +50,11 @@
     /** Prompt tokens that the engine has to prefill for the request. */
     readonly newTokens: number;
     /** Prompt tokens queued at the engine before the request. */
-    readonly aheadTokens: number;
+    readonly queuedTokens: number;
     /** Fraction of the engine's prefill time in the window that is granted. */
-    readonly use: number;
+    readonly usage: number;
     /** Fraction of the limit that the request may use: that of the grant request, or less if the engine has already served its account much. */
-    readonly mostUse: number;
+    readonly maxUsage: number;
     /** Time until a similar request could be granted; milliseconds. */
     readonly retryAfterMs: number;
 }
@@ -128,10 +128,10 @@
                 Math.round(message.outputTokens),
                 message.accountHash,
                 Math.round(message.chargedTokens),
-                Math.round(message.mostWaitMs),
-                Math.round(message.mostUse * usageScale),
-                Math.max(1, Math.round(message.spanMs)),
-                message.isBinding,
+                Math.round(message.maxWaitMs),
+                Math.round(message.maxUsage * usageScale),
+                Math.max(1, Math.round(message.windowMs)),
+                message.isUnconditional,
             ];
         case "reply":
             return [
@@ -140,9 +140,9 @@
                 message.isKnown,
                 message.granted,
                 Math.round(message.newTokens),
-                Math.round(message.aheadTokens),
-                Math.round(message.use * usageScale),
-                Math.round(message.mostUse * usageScale),
+                Math.round(message.queuedTokens),
+                Math.round(message.usage * usageScale),
+                Math.round(message.maxUsage * usageScale),
                 Math.ceil(message.retryAfterMs),
             ];
         case "report":
@@ -197,10 +197,10 @@
         outputTokens,
         accountHash,
         chargedTokens,
-        mostWaitMs,
-        mostUse: mostUse / usageScale,
-        spanMs,
-        isBinding,
+        maxWaitMs: mostWaitMs,
+        maxUsage: mostUse / usageScale,
+        windowMs: spanMs,
+        isUnconditional: isBinding,
     };
 }
 
@@ -221,9 +221,9 @@
         isKnown,
         granted,
         newTokens,
-        aheadTokens,
-        use: use / usageScale,
-        mostUse: mostUse / usageScale,
+        queuedTokens: aheadTokens,
+        usage: use / usageScale,
+        maxUsage: mostUse / usageScale,
         retryAfterMs,
     };
 }
@@ -246,7 +246,7 @@
     for (let index = 0; index < value.length; index += 2) {
         const id: unknown = value[index];
         const tokens: unknown = value[index + 1];
-        if (!isName(id) || id.length > maxPartIdLength || !isCount(tokens)) {
+        if (!isNonEmptyString(id) || id.length > maxPartIdLength || !isCount(tokens)) {
             return undefined;
         }
         parts.push({ id, tokens });
--- a/src/gateway/peers/accountAggregation.ts
+++ b/src/gateway/peers/accountAggregation.ts
@@ -4,7 +4,7 @@
 import type { ReportedRouter, RouterAccounts } from "../../decisions/shares/accountShares.js";
 import {
     mergeTotals,
-    noTotals,
+    emptyTotals,
     removeReport,
     type AccountTotals,
     type ReceivedTotals,
@@ -24,14 +24,14 @@
 const maxOwnReports = 16;
 
 /** A message and the router that it is sent to. */
-export interface TotalsSend {
+export interface OutgoingTotalsMessage {
     readonly routerId: string;
     readonly message: TotalsMessage;
 }
 
 /** Usage totals of other routers, and the routers that the totals cover. */
 export interface OtherRouters {
-    readonly use: ReportedRouter;
+    readonly totals: ReportedRouter;
     /** 32-bit hashes of the routers' ids. */
     readonly routerHashes: ReadonlySet<number>;
 }
@@ -100,7 +100,7 @@
     }
 
     /** Creates the messages of this period. */
-    public createMessages(): readonly TotalsSend[] {
+    public createMessages(): readonly OutgoingTotalsMessage[] {
         const nowMs = this.options.clock.nowMs();
         const own = this.createReport();
         this.updateAggregator(nowMs);
@@ -132,7 +132,7 @@
     }
 
     /** Totals of the other routers; undefined if none were received within the time-to-live. */
-    public findOthers(): OtherRouters | undefined {
+    public findOtherRouters(): OtherRouters | undefined {
         const isFresh = this.appliedAtMs + totalsTtlMs >= this.options.clock.nowMs();
         return isFresh ? this.others : undefined;
     }
@@ -140,14 +140,14 @@
     /** Applies totals over the fleet. Drops totals that include a report of an earlier start of this router. */
     private applyFleet(totals: AccountTotals, receivedAtMs: number): void {
         const included = totals.members.find(member => member.routerHash === this.ownHash);
-        const ownReport = included === undefined ? noTotals : this.ownReports.get(included.sequence);
+        const ownReport = included === undefined ? emptyTotals : this.ownReports.get(included.sequence);
         if (ownReport === undefined) {
             return;
         }
         const others = removeReport(totals, ownReport);
         this.appliedAtMs = receivedAtMs;
         this.others = {
-            use: new FleetTotals(others, receivedAtMs, this.options.clock),
+            totals: new FleetTotals(others, receivedAtMs, this.options.clock),
             routerHashes: new Set(others.members.map(member => member.routerHash)),
         };
     }
@@ -167,7 +167,7 @@
     }
 
     /** Creates the subtotal for the other aggregators, and the totals for the routers of this data centre. */
-    private createTotals(own: AccountTotals, nowMs: number): readonly TotalsSend[] {
+    private createTotals(own: AccountTotals, nowMs: number): readonly OutgoingTotalsMessage[] {
         const dataCentre = this.options.getCondition().dataCentre;
         const conditions = this.options.getConditions();
         const subtotal = mergeTotals([{ totals: own, receivedAtMs: nowMs }, ...listFresh(this.reports, nowMs)], nowMs);
@@ -234,6 +234,6 @@
     return [...received.values()];
 }
 
-function createSend(routerId: string, scope: TotalsMessage["scope"], totals: AccountTotals): TotalsSend {
+function createSend(routerId: string, scope: TotalsMessage["scope"], totals: AccountTotals): OutgoingTotalsMessage {
     return { routerId, message: { scope, totals } };
 }
--- a/src/gateway/peers/peerDirectory.ts
+++ b/src/gateway/peers/peerDirectory.ts
@@ -128,12 +128,12 @@
     }
 
     /** Usage of accounts at each router with a recent report. Ages are computed when they are accessed. */
-    public get accountUses(): readonly ReportedRouter[] {
+    public get accountReports(): readonly ReportedRouter[] {
         return this.findFresh().reports;
     }
 
     /** The same without the routers whose ids have these hashes. */
-    public listUsesExcept(routerHashes: ReadonlySet<number>): readonly ReportedRouter[] {
+    public listReportsExcept(routerHashes: ReadonlySet<number>): readonly ReportedRouter[] {
         return this.findFresh().reports.filter(report => !routerHashes.has(report.routerHash));
     }
 
--- a/src/gateway/peers/peerState.ts
+++ b/src/gateway/peers/peerState.ts
@@ -2,16 +2,23 @@
 import type { ReportedRouter, RouterAccounts } from "../../decisions/shares/accountShares.js";
 import type { RouterView } from "../../decisions/limits/coldLimit.js";
 import type { PeerLoad } from "../target.js";
-import { AccountAggregation, aggregationPeriodMs, type TotalsSend } from "./accountAggregation.js";
+import { AccountAggregation, aggregationPeriodMs, type OutgoingTotalsMessage } from "./accountAggregation.js";
 import { PeerDirectory } from "./peerDirectory.js";
-import type { LeavingTarget, PartRead, PeerAddress, PeerMessage, RouterCondition, TargetLoad } from "./peerMessage.js";
+import type {
+    LeavingTarget,
+    PartPrefill,
+    PeerAddress,
+    PeerMessage,
+    RouterCondition,
+    TargetLoad,
+} from "./peerMessage.js";
 import type { AccountSource, PeerRound, PeerView } from "./peerView.js";
 import type { TotalsMessage } from "./totalsMessage.js";
 
 /** Minimum interval between message rounds; milliseconds. It is about the time that an engine takes to prefill one prompt. */
 const minPeriodMs = 100;
 /** Maximum rate of control traffic that a router sends. To stay within it, rounds become less frequent as the fleet grows. */
-export const controlBytesPerSecond = 40_000;
+export const maxControlBytesPerSecond = 40_000;
 const msPerSecond = 1_000;
 /** Number of rounds that report a prefill, so that one lost datagram does not hide it. */
 const roundsPerPrefill = 3;
@@ -40,9 +47,9 @@
     /** This router's condition. */
     readonly getCondition: () => RouterCondition;
     /** The peers' summed loads changed; by the hash of the target's id. */
-    readonly onDidSumLoads: (loads: ReadonlyMap<number, PeerLoad>) => void;
+    readonly onDidUpdatePeerLoads: (loads: ReadonlyMap<number, PeerLoad>) => void;
     /** A message was received that is newer than the last one of its sender. */
-    readonly onDidReceive: (message: PeerMessage) => void;
+    readonly onDidReceiveMessage: (message: PeerMessage) => void;
 }
 
 /**
@@ -56,7 +63,7 @@
     private readonly directory: PeerDirectory;
     private readonly aggregation: AccountAggregation;
     private readonly incarnation: number;
-    private readonly recentPrefills: { readonly prefill: PartRead; rounds: number }[] = [];
+    private readonly recentPrefills: { readonly prefill: PartPrefill; rounds: number }[] = [];
     private sequence = 0;
     private currentRound: PeerRound = { messageBytes: 0, periodMs: minPeriodMs };
     private lastLoadUpdateAtMs = Number.NEGATIVE_INFINITY;
@@ -78,11 +85,11 @@
         return this.directory.routers;
     }
 
-    public get accountUses(): readonly ReportedRouter[] {
-        const others = this.aggregation.findOthers();
+    public get accountReports(): readonly ReportedRouter[] {
+        const others = this.aggregation.findOtherRouters();
         return others === undefined
-            ? this.directory.accountUses
-            : [others.use, ...this.directory.listUsesExcept(others.routerHashes)];
+            ? this.directory.accountReports
+            : [others.totals, ...this.directory.listReportsExcept(others.routerHashes)];
     }
 
     /** Conditions of the other routers with a recent message, by id. */
@@ -92,11 +99,11 @@
 
     /** Source of the accounts' usage at the other routers: an aggregator's totals, or only the reports of each router. */
     public get accountSource(): AccountSource {
-        const others = this.aggregation.findOthers();
+        const others = this.aggregation.findOtherRouters();
         return {
             aggregator: this.aggregation.aggregator,
             summedRouters: others?.routerHashes.size ?? 0,
-            ageMs: others?.use.ageMs,
+            ageMs: others?.totals.ageMs,
         };
     }
 
@@ -123,7 +130,7 @@
         this.directory.setSeeds(seedIps);
     }
 
-    public recordRead(targetHash: number, partId: string, tokens: number): void {
+    public recordPrefill(targetHash: number, partId: string, tokens: number): void {
         this.recentPrefills.push({ prefill: { targetHash, partId, tokens }, rounds: 0 });
     }
 
@@ -146,14 +153,14 @@
 
     /** Records the message size and the number of recipients of the last round, and sets the interval to the next one accordingly. */
     public recordRound(messageBytes: number, addressCount: number): void {
-        const periodMs = Math.max(minPeriodMs, (addressCount * messageBytes * msPerSecond) / controlBytesPerSecond);
+        const periodMs = Math.max(minPeriodMs, (addressCount * messageBytes * msPerSecond) / maxControlBytesPerSecond);
         this.currentRound = { messageBytes, periodMs };
         // Without this, loads that have expired since the last message would be counted forever if no peer sends again.
         this.updateLoads();
     }
 
     /** Creates this period's messages for and from aggregators; none while rounds to all peers are about as frequent. */
-    public createTotalsMessages(): readonly TotalsSend[] {
+    public createTotalsMessages(): readonly OutgoingTotalsMessage[] {
         return this.currentRound.periodMs > maxDirectRoundMs ? this.aggregation.createMessages() : [];
     }
 
@@ -163,7 +170,7 @@
 
     public applyMessage(message: PeerMessage): void {
         if (this.directory.apply(message)) {
-            this.options.onDidReceive(message);
+            this.options.onDidReceiveMessage(message);
             this.updateLoads();
         }
     }
@@ -172,7 +179,7 @@
         const nowMs = this.options.clock.nowMs();
         if (nowMs - this.lastLoadUpdateAtMs >= minLoadUpdatePeriodMs) {
             this.lastLoadUpdateAtMs = nowMs;
-            this.options.onDidSumLoads(this.directory.computeLoads());
+            this.options.onDidUpdatePeerLoads(this.directory.computeLoads());
         }
     }
 
@@ -190,7 +197,7 @@
         return [...leaving.slice(start), ...leaving.slice(0, start)].slice(0, maxLeaving);
     }
 
-    private takePrefills(): readonly PartRead[] {
+    private takePrefills(): readonly PartPrefill[] {
         const reported = this.recentPrefills.slice(0, maxPrefills);
         for (const entry of reported) {
             entry.rounds += 1;
--- a/src/gateway/peers/peerView.ts
+++ b/src/gateway/peers/peerView.ts
@@ -22,12 +22,12 @@
 export interface PeerView {
     readonly routers: RouterView;
     /** Tokens that accounts requested and were served at the other routers; a report may be totals over several routers. */
-    readonly accountUses: readonly ReportedRouter[];
+    readonly accountReports: readonly ReportedRouter[];
     readonly accountSource: AccountSource;
     /** Conditions of the other routers with a recent message, by id. */
     readonly conditions: ReadonlyMap<string, RouterCondition>;
     /** Size of the newest message, and the interval from it to the next one. */
     readonly round: PeerRound;
     /** Reports to the peers that a target has begun to prefill a prompt part. */
-    recordRead(targetHash: number, partId: string, tokens: number): void;
+    recordPrefill(targetHash: number, partId: string, tokens: number): void;
 }
--- a/src/gateway/peers/handover.ts
+++ b/src/gateway/peers/snapshotTransfer.ts
@@ -3,14 +3,14 @@
 import type { Logger } from "../../base/log.js";
 import type { Sleep } from "../../base/sleep.js";
 import type { FleetSource } from "../fleetSource.js";
-import { fetchSnapshot } from "./handoverApi.js";
+import { fetchSnapshot } from "./snapshotApi.js";
 
 /** Time for the platform to respond first; milliseconds. A start without an outage needs no peer. */
 const platformHeadStartMs = 300;
 const retryMs = 500;
 
-/** Dependencies of a {@link Handover}. */
-export interface HandoverOptions {
+/** Dependencies of a {@link SnapshotTransfer}. */
+export interface SnapshotTransferOptions {
     readonly source: FleetSource;
     readonly logger: Logger;
     readonly sleep: Sleep;
@@ -23,10 +23,10 @@
  * routes and would refuse all requests until the outage ends, while its peers still serve with the records that they read before.
  * A snapshot is applied only as long as the platform's own records have not been read; those replace it later.
  */
-export class Handover implements Disposable {
+export class SnapshotTransfer implements Disposable {
     private readonly cancellation = new CancellationTokenSource();
 
-    public constructor(private readonly options: HandoverOptions) {}
+    public constructor(private readonly options: SnapshotTransferOptions) {}
 
     public async run(): Promise<void> {
         const { source, sleep, listAddresses } = this.options;
--- a/src/gateway/quarantine/crashMessage.ts
+++ b/src/gateway/quarantine/crashMessage.ts
@@ -20,7 +20,7 @@
 /** Identifies the format version. Other versions use other codes, and their messages are dropped. */
 const messageCode = 33;
 /** Maximum number of entries of each list in a message. Limits its size, so that networks don't split it into many fragments. */
-export const mostEntries = 40;
+export const maxEntries = 40;
 /** Weights are sent as whole hundredths. */
 const weightScale = 100;
 
@@ -28,8 +28,8 @@
 const digest = z.string().regex(/^[0-9a-f]{32}$/);
 const wireSchema = z.tuple([
     z.literal(messageCode),
-    z.array(z.tuple([digest, hash, hash, z.number().int().min(1).max(weightScale)])).max(mostEntries),
-    z.array(digest).max(mostEntries),
+    z.array(z.tuple([digest, hash, hash, z.number().int().min(1).max(weightScale)])).max(maxEntries),
+    z.array(digest).max(maxEntries),
 ]);
 
 /** Whether a datagram holds a report of crashes. Checks only its first two bytes: an array whose first entry is the code. */
--- a/src/gateway/quarantine/quarantine.ts
+++ b/src/gateway/quarantine/quarantine.ts
@@ -8,8 +8,8 @@
 import { TargetOwners } from "../../decisions/placement/targetOwners.js";
 import {
     CrashLedger,
-    freshRunWeight,
-    provenRunWeight,
+    noOutputRunWeight,
+    partialOutputRunWeight,
     type CrashEvidence,
     type HeldRequest,
 } from "../../decisions/quarantine/crashLedger.js";
@@ -22,7 +22,7 @@
 import type { TargetProbe } from "./targetProbe.js";
 
 /** Whether a request may run now, and whether it holds a run permit. */
-export type Turn =
+export type RunPermit =
     /** It is not a suspect, and needs no permit. */
     | "free"
     /** It is a suspect and holds a permit, which {@link Quarantine.endTurn} must release. */
@@ -86,7 +86,7 @@
      * and each copy would crash a target before the first crash is reported. A suspect therefore runs only once at a time at each
      * router, and at a single router once one more crash would hold it.
      */
-    public takeTurn(identity: RequestIdentity): Turn {
+    public takeRunPermit(identity: RequestIdentity): RunPermit {
         if (!this.ledger.hasPrefix(identity.prefixHash)) {
             return "free";
         }
@@ -116,14 +116,14 @@
     }
 
     /** Handles a disconnect by the target. Resolves once the target has been probed; if it has crashed, the evidence is recorded by then. */
-    public async observeBreak(identity: RequestIdentity, target: Target, hadOutput: boolean): Promise<void> {
+    public async observeDisconnect(identity: RequestIdentity, target: Target, hadOutput: boolean): Promise<void> {
         const { probe, clock, logger } = this.options;
         // A leaving target stops as planned and disconnects unfinished requests, so that it is no evidence.
         if (target.availability.leaving !== undefined || !(await probe.hasEnded(target.entry.address))) {
             return;
         }
         const { digest, prefixHash } = identity;
-        const weight = hadOutput ? provenRunWeight : freshRunWeight;
+        const weight = hadOutput ? partialOutputRunWeight : noOutputRunWeight;
         const incarnation = hashFast(`${target.id} ${target.entry.startedAtMs ?? ""}`);
         const evidence = { digest, prefixHash, incarnation, weight };
         const isHeldNow = this.ledger.record(evidence, clock.nowMs());
@@ -135,14 +135,14 @@
     }
 
     /** Clears the request after a complete response from a target. */
-    public observeAnswer(identity: RequestIdentity): void {
+    public observeResponse(identity: RequestIdentity): void {
         if (this.ledger.hasPrefix(identity.prefixHash)) {
             this.release(identity.digest);
         }
     }
 
     /** Releases the permit of a suspect's run. */
-    public endTurn(identity: RequestIdentity): void {
+    public releaseRunPermit(identity: RequestIdentity): void {
         this.running.delete(identity.digest);
     }
 
@@ -169,7 +169,7 @@
     }
 
     /** Writes the records again after the store may have lost its latest writes. Only one router writes each of them. */
-    public writeHeldAgain(): void {
+    public writeHeldRecords(): void {
         const { clock, ownId } = this.options;
         const nowMs = clock.nowMs();
         for (const held of this.ledger.listHeld(nowMs)) {
--- a/src/gateway/quarantine/requestWatch.ts
+++ b/src/gateway/quarantine/requestGuard.ts
@@ -4,7 +4,7 @@
 import type { RequestIdentity } from "./requestIdentity.js";
 
 /** Requests run permits from the quarantine for one request, and reports the outcomes of its attempts to the quarantine. */
-export class RequestWatch {
+export class RequestGuard {
     private hasRunPermit = false;
 
     public constructor(
@@ -14,22 +14,22 @@
 
     /** Decides whether the request may run. {@link end} must be called afterwards. */
     public start(): "run" | "busy" | "held" {
-        const permit = this.quarantine.takeTurn(this.identity);
+        const permit = this.quarantine.takeRunPermit(this.identity);
         this.hasRunPermit = permit === "taken";
         return permit === "free" || permit === "taken" ? "run" : permit;
     }
 
     /** Whether the request may be sent to a further target. */
-    public get mayRepeat(): boolean {
+    public get canRetry(): boolean {
         return this.hasRunPermit ? !this.quarantine.isHeld(this.identity) : this.start() === "run";
     }
 
     /** Reports an attempt's outcome. Resolves once the quarantine has evaluated it. */
     public async observe(outcome: AttemptOutcome, target: Target, hadOutput: boolean): Promise<void> {
         if (outcome.kind === "answered") {
-            this.quarantine.observeAnswer(this.identity);
+            this.quarantine.observeResponse(this.identity);
         } else if (outcome.kind === "broken") {
-            await this.quarantine.observeBreak(this.identity, target, hadOutput);
+            await this.quarantine.observeDisconnect(this.identity, target, hadOutput);
         }
     }
 
@@ -37,7 +37,7 @@
     public end(): void {
         if (this.hasRunPermit) {
             this.hasRunPermit = false;
-            this.quarantine.endTurn(this.identity);
+            this.quarantine.releaseRunPermit(this.identity);
         }
     }
 }
--- a/test/gateway/peers/accountAggregation.test.ts
+++ b/test/gateway/peers/accountAggregation.test.ts
@@ -36,10 +36,10 @@
 
     /** Describes one account's usage at the other routers, as one router has received it. */
     public describeOthers(routerId: string): string {
-        const others = this.routers.get(routerId)?.findOthers();
+        const others = this.routers.get(routerId)?.findOtherRouters();
         return others === undefined
             ? "none"
-            : `${others.use.accounts.get("north")?.served ?? 0} at ${others.routerHashes.size} routers`;
+            : `${others.totals.accounts.get("north")?.served ?? 0} at ${others.routerHashes.size} routers`;
     }
 
     public startAgain(routerId: string): void {
--- a/test/gateway/peers/peerDirectory.test.ts
+++ b/test/gateway/peers/peerDirectory.test.ts
@@ -59,7 +59,7 @@
         clock.advance(300);
         directory.apply(createMessage({ routerId: "router-3" }));
         clock.advance(50);
-        expect(directory.accountUses.map(router => router.ageMs)).toEqual([350, 50]);
+        expect(directory.accountReports.map(router => router.ageMs)).toEqual([350, 50]);
     });
 
     // Datagrams arrive out of order, and a restarted router begins its sequence anew.
@@ -113,9 +113,9 @@
         const directory = new PeerDirectory(own, [], clock);
         directory.apply(createMessage({ periodMs: 2_000 }));
         clock.advance(6_000);
-        const after3 = directory.accountUses.length;
+        const after3 = directory.accountReports.length;
         clock.advance(3_000);
-        expect([after3, directory.accountUses.length]).toEqual([1, 0]);
+        expect([after3, directory.accountReports.length]).toEqual([1, 0]);
     });
 
     // The lists are read with each request and cached between changes. A stale list would name routers that have stopped.
@@ -125,7 +125,7 @@
         const describeAll = (): string => {
             const { routerIds, unheard, isSettled } = directory.routers;
             const utilizations = [...directory.conditions].map(([id, { utilization }]) => `${id} at ${utilization}`);
-            const uses = directory.accountUses.map(({ accounts, ageMs }) => `${accounts.size} of ${ageMs} ms`);
+            const uses = directory.accountReports.map(({ accounts, ageMs }) => `${accounts.size} of ${ageMs} ms`);
             return [routerIds.join(" "), unheard, isSettled, ...utilizations, ...uses].join(", ");
         };
         const condition = { dataCentre: "dc-a", processorShare: 1, utilization: 0.75, isWithdrawn: false };
