--- a/src/gateway/grants/createGrants.ts
+++ b/src/gateway/grants/createGrants.ts
@@ -22,9 +22,9 @@
 }
 
 /** Creates the grant client, the grant owner and the exchange that dispatches messages to them. */
-export function createGrants(parts: GrantsOptions): Grants {
-    const { ownId, peers, transport, clock, setTimer } = parts;
-    const owner = new GrantOwner(parts);
+export function createGrants(options: GrantsOptions): Grants {
+    const { ownId, peers, transport, clock, setTimer } = options;
+    const owner = new GrantOwner(options);
     const client = new GrantClient({
         ownId,
         incarnation: clock.nowDate().getTime(),
--- a/src/gateway/grants/grantClient.ts
+++ b/src/gateway/grants/grantClient.ts
@@ -21,6 +21,7 @@
     readonly account: string | undefined;
     /** Tokens that are charged against the account's share. */
     readonly chargedTokens: number;
+    /** Maximum wait and maximum usage of the engine. */
     readonly bounds: Pick<PromptBounds, "maxWaitMs" | "maxUsage">;
     /** Window over which the engine's limit applies; milliseconds. */
     readonly windowMs: number;
@@ -79,11 +80,11 @@
 
     /** Requests a grant from the engine's owner. Calls `handleOutcome` exactly once unless the client is disposed first. */
     public submit(demand: GrantDemand, handleOutcome: (outcome: GrantOutcome) => void): void {
-        const { ownId, owners, localOwner: ownBooks, transport, clock, setTimer } = this.options;
+        const { ownId, owners, localOwner, transport, clock, setTimer } = this.options;
         const request = this.createRequest(demand, false);
         const ownerId = owners.find(request.targetHash, clock.nowMs());
         if (ownerId === ownId) {
-            handleOutcome(this.createOutcome(ownBooks.check(ownId, request), request, ownId));
+            handleOutcome(this.createOutcome(localOwner.check(ownId, request), request, ownId));
         } else if (ownerId === undefined || !transport.send(ownerId, request)) {
             handleOutcome({ kind: "unanswered" });
         } else {
@@ -97,19 +98,23 @@
         }
     }
 
-    /** Records a send that does not depend on the owner's decision, such as one to a second engine. Undefined: the owner can't be reached. */
+    /**
+     * Records a send that does not depend on the owner's decision, such as one to a second engine. Returns undefined if there is no owner
+     * to record it.
+     */
     public record(demand: GrantDemand): Grant | undefined {
-        const { ownId, owners, localOwner: ownBooks, transport, clock } = this.options;
+        const { ownId, owners, localOwner, transport, clock } = this.options;
         const request = this.createRequest(demand, true);
         const ownerId = owners.find(request.targetHash, clock.nowMs());
         if (ownerId === ownId) {
-            ownBooks.check(ownId, request);
+            localOwner.check(ownId, request);
         } else if (ownerId === undefined || !transport.send(ownerId, request)) {
             return undefined;
         }
         return this.createGrant(request, ownerId, 0);
     }
 
+    /** Applies a reply. Only the first reply of the router that the request was sent to has an effect on the request. */
     public applyReply(senderId: string, reply: GrantReply): void {
         const pending = this.pending.get(reply.grantId);
         this.options.owners.recordReply(senderId);
@@ -141,7 +146,10 @@
         pending.handleOutcome({ kind: "unanswered" });
     }
 
-    private createRequest({ target, head, copiedTokens, ...demand }: GrantDemand, isBinding: boolean): GrantRequest {
+    private createRequest(
+        { target, head, copiedTokens, ...demand }: GrantDemand,
+        isUnconditional: boolean,
+    ): GrantRequest {
         const sharedParts = head.promptParts.slice(0, -1);
         const sharedTokens = sharedParts.reduce((sum, part) => sum + part.tokens, 0);
         this.lastGrantId += 1;
@@ -159,7 +167,7 @@
             maxWaitMs: demand.bounds.maxWaitMs,
             maxUsage: demand.bounds.maxUsage,
             windowMs: demand.windowMs,
-            isUnconditional: isBinding,
+            isUnconditional,
         };
     }
 
@@ -179,15 +187,15 @@
     private createGrant(
         { grantId, targetHash }: Pick<GrantRequest, "grantId" | "targetHash">,
         ownerId: string,
-        use: number,
+        usage: number,
     ): Grant {
-        const { ownId, incarnation, localOwner: ownBooks, transport } = this.options;
+        const { ownId, incarnation, localOwner, transport } = this.options;
         return {
-            usage: use,
+            usage,
             report: progress => {
                 const report = { kind: "report", grantId, incarnation, targetHash, progress } as const;
                 if (ownerId === ownId) {
-                    ownBooks.applyReport(ownId, report);
+                    localOwner.applyReport(ownId, report);
                 } else {
                     transport.send(ownerId, report);
                 }
--- a/src/gateway/grants/grantMessage.ts
+++ b/src/gateway/grants/grantMessage.ts
@@ -53,7 +53,10 @@
     readonly queuedTokens: number;
     /** Fraction of the engine's prefill time in the window that is granted. */
     readonly usage: number;
-    /** Fraction of the limit that the request may use: that of the grant request, or less if the engine has already served its account much. */
+    /**
+     * Fraction of the limit that the request may use: that of the grant request, or less if the engine has already served its account
+     * much.
+     */
     readonly maxUsage: number;
     /** Time until a similar request could be granted; milliseconds. */
     readonly retryAfterMs: number;
@@ -173,17 +176,23 @@
     const [, grantId, incarnation, targetHash] = wire;
     const sharedParts = decodeParts(wire[4]);
     const [ownTokens, copiedTokens, outputTokens, accountHash] = [wire[5], wire[6], wire[7], wire[8]];
-    const [chargedTokens, mostWaitMs, mostUse, spanMs, isBinding] = [wire[9], wire[10], wire[11], wire[12], wire[13]];
+    const [chargedTokens, maxWaitMs, maxUsage, windowMs, isUnconditional] = [
+        wire[9],
+        wire[10],
+        wire[11],
+        wire[12],
+        wire[13],
+    ];
     if (!isCount(grantId) || !isCount(incarnation) || !isCount(targetHash) || sharedParts === undefined) {
         return undefined;
     }
     if (!isCount(ownTokens) || !isCount(copiedTokens) || !isCount(outputTokens) || !isCount(accountHash)) {
         return undefined;
     }
-    if (!isCount(chargedTokens) || !isCount(mostWaitMs) || !isCount(mostUse) || !isCount(spanMs) || spanMs < 1) {
+    if (!isCount(chargedTokens) || !isCount(maxWaitMs) || !isCount(maxUsage) || !isCount(windowMs) || windowMs < 1) {
         return undefined;
     }
-    if (typeof isBinding !== "boolean") {
+    if (typeof isUnconditional !== "boolean") {
         return undefined;
     }
     return {
@@ -197,22 +206,22 @@
         outputTokens,
         accountHash,
         chargedTokens,
-        maxWaitMs: mostWaitMs,
-        maxUsage: mostUse / usageScale,
-        windowMs: spanMs,
-        isUnconditional: isBinding,
+        maxWaitMs,
+        maxUsage: maxUsage / usageScale,
+        windowMs,
+        isUnconditional,
     };
 }
 
 function decodeReply(wire: readonly unknown[]): GrantReply | undefined {
-    const [, grantId, isKnown, granted, newTokens, aheadTokens, use, mostUse, retryAfterMs] = wire;
+    const [, grantId, isKnown, granted, newTokens, queuedTokens, usage, maxUsage, retryAfterMs] = wire;
     if (!isCount(grantId) || typeof isKnown !== "boolean" || typeof granted !== "boolean") {
         return undefined;
     }
-    if (!isCount(newTokens) || !isCount(aheadTokens)) {
+    if (!isCount(newTokens) || !isCount(queuedTokens)) {
         return undefined;
     }
-    if (!isCount(use) || !isCount(mostUse) || !isCount(retryAfterMs)) {
+    if (!isCount(usage) || !isCount(maxUsage) || !isCount(retryAfterMs)) {
         return undefined;
     }
     return {
@@ -221,9 +230,9 @@
         isKnown,
         granted,
         newTokens,
-        queuedTokens: aheadTokens,
-        usage: use / usageScale,
-        maxUsage: mostUse / usageScale,
+        queuedTokens,
+        usage: usage / usageScale,
+        maxUsage: maxUsage / usageScale,
         retryAfterMs,
     };
 }
--- a/src/gateway/grants/grantOwner.ts
+++ b/src/gateway/grants/grantOwner.ts
@@ -44,14 +44,15 @@
         if (target === undefined) {
             return createUnknownReply(request);
         }
-        // The sender has not yet received this state. Without a denial it would decide by its estimates and send to a target that is about to stop.
+        // The sender has not yet received that the target is leaving. Without a denial it would decide by its estimates and send to a
+        // target that is about to stop.
         if (target.availability.leaving !== undefined && !request.isUnconditional) {
             return createLeavingReply(request);
         }
         const nowMs = this.options.clock.nowMs();
         const rate = this.createRate(target);
         const newTokens = countNewTokens(target, request);
-        const reading = {
+        const prefill = {
             id: formatGrantKey(senderId, request),
             tokens: newTokens,
             maxQueuedTokens: request.maxWaitMs * rate.tokensPerMs,
@@ -60,18 +61,19 @@
         };
         const { budget, shares } = this.findEngine(request.targetHash);
         shares.recordRequested(request.accountHash, request.chargedTokens, nowMs);
-        const decision = budget.check(reading, rate, nowMs);
+        const decision = budget.check(prefill, rate, nowMs);
         if (request.isUnconditional) {
-            budget.record(reading, rate, nowMs);
+            budget.record(prefill, rate, nowMs);
         }
         if (decision.granted || request.isUnconditional) {
             shares.recordGranted(request.accountHash, request.chargedTokens, nowMs);
             recordParts(target, request, newTokens);
         }
-        const { maxUsage: mostUse } = reading;
-        return { kind: "reply", grantId: request.grantId, isKnown: true, newTokens, maxUsage: mostUse, ...decision };
+        const { maxUsage } = prefill;
+        return { kind: "reply", grantId: request.grantId, isKnown: true, newTokens, maxUsage, ...decision };
     }
 
+    /** Applies a progress report. `senderId`: id of the router that holds the grant. */
     public applyReport(senderId: string, report: GrantReport): void {
         const { budget } = this.findEngine(report.targetHash);
         const key = formatGrantKey(senderId, report);
@@ -83,12 +85,9 @@
     }
 
     /** Fraction of the limit that the request may use: that in the request, or less if the engine has already served its account much. */
-    private computeMaxUsage(
-        { targetHash, accountHash, chargedTokens, maxUsage: mostUse }: GrantRequest,
-        nowMs: number,
-    ): number {
+    private computeMaxUsage({ targetHash, accountHash, chargedTokens, maxUsage }: GrantRequest, nowMs: number): number {
         const surplus = this.findEngine(targetHash).shares.computeSurplus(accountHash, chargedTokens, nowMs);
-        return Math.min(mostUse, computeMaxEngineUsage(surplus));
+        return Math.min(maxUsage, computeMaxEngineUsage(surplus));
     }
 
     private findEngine(targetHash: number): EngineState {
@@ -101,24 +100,24 @@
     }
 
     private createRate({ entry }: Target): EngineRate {
-        const { firstTokenModels, prefillShares: readingShares } = this.options;
+        const { firstTokenModels, prefillShares } = this.options;
         return {
             tokensPerMs: firstTokenModels.getOrCreate(entry.service).prefillTokensPerMs,
             slots: entry.slots,
-            readingShare: readingShares.getOrCreate(entry.service).current,
+            readingShare: prefillShares.getOrCreate(entry.service).current,
         };
     }
 }
 
 /** A denial that holds until the sender has received from its peers that the target is leaving. */
-function createLeavingReply({ grantId, maxUsage: maxUsage }: GrantRequest): GrantReply {
-    const full = { newTokens: 0, queuedTokens: 0, usage: 1, maxUsage: maxUsage, retryAfterMs: leavingDenialMs };
-    return { kind: "reply", grantId, isKnown: true, granted: false, ...full };
+function createLeavingReply({ grantId, maxUsage }: GrantRequest): GrantReply {
+    const denial = { newTokens: 0, queuedTokens: 0, usage: 1, maxUsage, retryAfterMs: leavingDenialMs };
+    return { kind: "reply", grantId, isKnown: true, granted: false, ...denial };
 }
 
 function createUnknownReply({ grantId }: GrantRequest): GrantReply {
-    const nothing = { newTokens: 0, queuedTokens: 0, usage: 0, maxUsage: 0, retryAfterMs: 0 };
-    return { kind: "reply", grantId, isKnown: false, granted: false, ...nothing };
+    const zeros = { newTokens: 0, queuedTokens: 0, usage: 0, maxUsage: 0, retryAfterMs: 0 };
+    return { kind: "reply", grantId, isKnown: false, granted: false, ...zeros };
 }
 
 /** Prompt tokens that the engine has to prefill: those not cached there by earlier requests and not copied from another engine. */
--- a/src/gateway/peers/accountAggregation.ts
+++ b/src/gateway/peers/accountAggregation.ts
@@ -16,9 +16,9 @@
 export const aggregationPeriodMs = 100;
 /** Maximum age of received totals; milliseconds. Covers several periods, so that a lost datagram does no harm. */
 const totalsTtlMs = 600;
-/** An aggregator that has sent no totals for this long is skipped. */
+/** An aggregator that has sent no totals for this long is skipped; milliseconds. */
 const inactivityTimeoutMs = 800;
-/** Time until a skipped aggregator is a candidate again. */
+/** Time until a skipped aggregator is a candidate again; milliseconds. */
 const suspicionMs = 4_000;
 /** Number of own reports to keep: those that totals still in flight may include. */
 const maxOwnReports = 16;
@@ -65,7 +65,9 @@
 export interface AccountAggregationOptions {
     readonly ownId: string;
     readonly clock: Clock;
+    /** Tokens that accounts requested from this router and were served. */
     readonly listOwnAccounts: () => RouterAccounts;
+    /** This router's condition. */
     readonly getCondition: () => RouterCondition;
     /** Conditions of the other routers with a recent message, by id. */
     readonly getConditions: () => ReadonlyMap<string, RouterCondition>;
@@ -159,7 +161,7 @@
             members: [{ routerHash: this.ownHash, sequence: this.sequence }],
             ageMs: 0,
             coveredMs,
-            accounts: new Map([...accounts].filter(([, use]) => use.asked > 0 || use.served > 0)),
+            accounts: new Map([...accounts].filter(([, usage]) => usage.asked > 0 || usage.served > 0)),
         };
         this.ownReports.set(this.sequence, report);
         this.ownReports.delete(this.sequence - maxOwnReports);
@@ -177,27 +179,27 @@
         );
         this.applyFleet(totals, nowMs);
         const members = [...conditions].filter(([, condition]) => condition.dataCentre === dataCentre);
-        const others = new Set([...conditions.values()].map(condition => condition.dataCentre));
-        others.delete(dataCentre);
-        const aggregators = [...others].flatMap(
+        const otherDataCentres = new Set([...conditions.values()].map(condition => condition.dataCentre));
+        otherDataCentres.delete(dataCentre);
+        const aggregators = [...otherDataCentres].flatMap(
             other => chooseAggregator(other, listCandidates(conditions, other)) ?? [],
         );
         return [
-            ...aggregators.map(routerId => createSend(routerId, "data-centre", subtotal)),
-            ...members.map(([routerId]) => createSend(routerId, "fleet", totals)),
+            ...aggregators.map(routerId => createOutgoing(routerId, "data-centre", subtotal)),
+            ...members.map(([routerId]) => createOutgoing(routerId, "fleet", totals)),
         ];
     }
 
     private updateAggregator(nowMs: number): void {
         const { ownId } = this.options;
-        const before = this.aggregatorId;
+        const previousId = this.aggregatorId;
         // Without reports of this router no totals were due, so that none are missing.
         if (nowMs - this.reportedAtMs > inactivityTimeoutMs) {
             this.totalsReceivedAtMs = nowMs;
         }
         this.reportedAtMs = nowMs;
-        if (before !== undefined && before !== ownId && nowMs - this.totalsReceivedAtMs > inactivityTimeoutMs) {
-            this.suspectedUntilMs.set(before, nowMs + suspicionMs);
+        if (previousId !== undefined && previousId !== ownId && nowMs - this.totalsReceivedAtMs > inactivityTimeoutMs) {
+            this.suspectedUntilMs.set(previousId, nowMs + suspicionMs);
         }
         for (const [routerId, untilMs] of this.suspectedUntilMs) {
             if (untilMs <= nowMs) {
@@ -210,7 +212,7 @@
             ...listCandidates(this.options.getConditions(), dataCentre),
         ].filter(({ routerId }) => !this.suspectedUntilMs.has(routerId));
         this.aggregatorId = chooseAggregator(dataCentre, candidates);
-        if (this.aggregatorId !== before) {
+        if (this.aggregatorId !== previousId) {
             this.totalsReceivedAtMs = nowMs;
         }
     }
@@ -234,6 +236,6 @@
     return [...received.values()];
 }
 
-function createSend(routerId: string, scope: TotalsMessage["scope"], totals: AccountTotals): OutgoingTotalsMessage {
+function createOutgoing(routerId: string, scope: TotalsMessage["scope"], totals: AccountTotals): OutgoingTotalsMessage {
     return { routerId, message: { scope, totals } };
 }
--- a/src/gateway/peers/peerDirectory.ts
+++ b/src/gateway/peers/peerDirectory.ts
@@ -21,7 +21,10 @@
  * so it keeps its share of cold targets until then. If it has stopped, the only cost is that its share is not used for that time.
  */
 export const memberTtlMs = 30_000;
-/** Several message rounds pass in this time after a start; milliseconds. A router that has received none by then is alone or unreachable. */
+/**
+ * Time after a start in which several message rounds pass; milliseconds. A router that has received no message by then is the only one or
+ * unreachable.
+ */
 const settleMs = 1_500;
 
 interface Peer {
@@ -64,13 +67,16 @@
         this.view = undefined;
     }
 
-    /** Applies a message. Returns false, without effect, for this router's own messages and for those not newer than the last one of their sender. */
+    /**
+     * Applies a message. Returns false, without effect, for this router's own messages and for those not newer than the last one of their
+     * sender.
+     */
     public apply(message: PeerMessage): boolean {
-        const known = this.peers.get(message.routerId)?.message;
+        const previous = this.peers.get(message.routerId)?.message;
         const isOlder =
-            known !== undefined &&
-            (message.incarnation < known.incarnation ||
-                (message.incarnation === known.incarnation && message.sequence <= known.sequence));
+            previous !== undefined &&
+            (message.incarnation < previous.incarnation ||
+                (message.incarnation === previous.incarnation && message.sequence <= previous.sequence));
         if (message.routerId === this.own.routerId || isOlder) {
             return false;
         }
@@ -82,7 +88,7 @@
         });
         this.fresh = undefined;
         this.removeAfterMs = Math.min(this.removeAfterMs, namedAtMs + memberTtlMs);
-        if (known?.ip !== message.ip) {
+        if (previous?.ip !== message.ip) {
             this.view = undefined;
         }
         this.addresses.set(message.routerId, { ip: message.ip, namedAtMs });
@@ -118,6 +124,7 @@
         return [...this.peers.values()].map(({ message }) => ({ routerId: message.routerId, ip: message.ip }));
     }
 
+    /** The known routers, and how many seeds have sent no message. */
     public get routers(): RouterView {
         this.removeExpired();
         const isSettled = this.clock.nowMs() - this.startedAtMs >= settleMs;
--- a/src/gateway/peers/peerMessage.ts
+++ b/src/gateway/peers/peerMessage.ts
@@ -81,7 +81,7 @@
 
 const loadColumns = 4;
 const accountColumns = 4;
-const readColumns = 3;
+const prefillColumns = 3;
 const peerColumns = 2;
 const leavingColumns = 2;
 /** Fractions are sent as whole thousandths. */
@@ -131,13 +131,13 @@
             Math.round(load.writtenTokens),
         ]),
         Math.round(message.coveredMs),
-        [...message.accounts].flatMap(([name, use]) => [
+        [...message.accounts].flatMap(([name, usage]) => [
             name,
-            Math.round(use.asked),
-            Math.round(use.served),
-            Math.round(use.recentlyServed),
+            Math.round(usage.asked),
+            Math.round(usage.served),
+            Math.round(usage.recentlyServed),
         ]),
-        message.reads.flatMap(read => [read.targetHash, read.partId, read.tokens]),
+        message.reads.flatMap(prefill => [prefill.targetHash, prefill.partId, prefill.tokens]),
         message.peers.flatMap(peer => [peer.routerId, peer.ip]),
         message.leaving.flatMap(({ targetHash, startedAtMs }) => [targetHash, startedAtMs]),
         encodeCondition(message.condition),
@@ -174,7 +174,7 @@
     }
     const targets = decodeRows(wire[5], loadColumns, decodeLoad);
     const accounts = decodeRows(wire[7], accountColumns, decodeAccount);
-    const reads = decodeRows(wire[8], readColumns, decodeRead);
+    const reads = decodeRows(wire[8], prefillColumns, decodePrefill);
     const peers = decodeRows(wire[9], peerColumns, decodePeer);
     const leaving = decodeRows(wire[10], leavingColumns, decodeLeaving);
     const condition = decodeCondition(wire[11]);
@@ -246,7 +246,7 @@
         : undefined;
 }
 
-function decodeRead(cells: readonly unknown[], from: number): PartPrefill | undefined {
+function decodePrefill(cells: readonly unknown[], from: number): PartPrefill | undefined {
     const targetHash = cells[from];
     const partId = cells[from + 1];
     const tokens = cells[from + 2];
--- a/src/gateway/peers/peerState.ts
+++ b/src/gateway/peers/peerState.ts
@@ -130,6 +130,7 @@
         this.directory.setSeeds(seedIps);
     }
 
+    /** Adds a prefill to this router's next messages. */
     public recordPrefill(targetHash: number, partId: string, tokens: number): void {
         this.recentPrefills.push({ prefill: { targetHash, partId, tokens }, rounds: 0 });
     }
@@ -159,7 +160,7 @@
         this.updateLoads();
     }
 
-    /** Creates this period's messages for and from aggregators; none while rounds to all peers are about as frequent. */
+    /** Creates this period's messages to or from an aggregator; none while rounds to all peers are about as frequent. */
     public createTotalsMessages(): readonly OutgoingTotalsMessage[] {
         return this.currentRound.periodMs > maxDirectRoundMs ? this.aggregation.createMessages() : [];
     }
--- a/src/gateway/peers/snapshotApi.ts
+++ b/src/gateway/peers/snapshotApi.ts
@@ -14,7 +14,10 @@
 }
 
 const endpoint = "/trpc";
-/** Time-out of a call; milliseconds. A peer in the same region responds within milliseconds; one that does not is taken as down, and the next one is tried. */
+/**
+ * Time-out of a call; milliseconds. A peer in the same region responds within milliseconds. One that does not is taken as down, and the
+ * next one is tried.
+ */
 const callTimeoutMs = 500;
 
 const snapshotSchema = z.object({
--- a/src/gateway/peers/snapshotTransfer.ts
+++ b/src/gateway/peers/snapshotTransfer.ts
@@ -7,6 +7,7 @@
 
 /** Time for the platform to respond first; milliseconds. A start without an outage needs no peer. */
 const platformHeadStartMs = 300;
+/** Interval between rounds of attempts; milliseconds. */
 const retryMs = 500;
 
 /** Dependencies of a {@link SnapshotTransfer}. */
@@ -28,6 +29,7 @@
 
     public constructor(private readonly options: SnapshotTransferOptions) {}
 
+    /** Runs until the platform's records are available, from the platform or a peer, or until disposed. */
     public async run(): Promise<void> {
         const { source, sleep, listAddresses } = this.options;
         const { token } = this.cancellation;
--- a/src/gateway/peers/totalsMessage.ts
+++ b/src/gateway/peers/totalsMessage.ts
@@ -44,11 +44,11 @@
         totals.members.flatMap(member => [member.routerHash, member.sequence]),
         Math.round(totals.ageMs),
         Math.round(totals.coveredMs),
-        [...totals.accounts].flatMap(([account, use]) => [
+        [...totals.accounts].flatMap(([account, usage]) => [
             account,
-            Math.round(use.asked),
-            Math.round(use.served),
-            Math.round(use.recentlyServed),
+            Math.round(usage.asked),
+            Math.round(usage.served),
+            Math.round(usage.recentlyServed),
         ]),
     ]);
 }
--- a/src/gateway/quarantine/crashReports.ts
+++ b/src/gateway/quarantine/crashReports.ts
@@ -8,7 +8,10 @@
     sendToAll(message: CrashMessage): void;
 }
 
-/** Delays at which a report is sent; milliseconds. It is repeated because datagrams get lost, and because a router under a short overload may drop one. */
+/**
+ * Delays at which a report is sent; milliseconds. It is repeated because datagrams are lost, and a router that is briefly too slow reads
+ * them late.
+ */
 const sendDelaysMs = [0, 100, 400, 1_500] as const;
 
 /** Sends reports of crashes to the other routers, each several times. */
--- a/src/gateway/quarantine/heldRequestsApi.ts
+++ b/src/gateway/quarantine/heldRequestsApi.ts
@@ -62,7 +62,10 @@
     return ResultAsync.fromPromise(response, toError);
 }
 
-/** Releases a request at one router, which reports the release to the others; false: that router has no evidence against it. Errors: no response in time, or an invalid one. */
+/**
+ * Releases a request at one router, which reports the release to the others; false: that router has no evidence against the request.
+ * Errors: no response in time, or an invalid one.
+ */
 export function releaseHeldRequest(address: string, digest: string): ResultAsync<boolean, HeldRequestsError> {
     const response = createClient(address)
         .release.mutate(digest, { signal: AbortSignal.timeout(callTimeoutMs) })
--- a/src/gateway/quarantine/quarantine.ts
+++ b/src/gateway/quarantine/quarantine.ts
@@ -24,9 +24,9 @@
 /** Whether a request may run now, and whether it holds a run permit. */
 export type RunPermit =
     /** It is not a suspect, and needs no permit. */
-    | "free"
-    /** It is a suspect and holds a permit, which {@link Quarantine.endTurn} must release. */
-    | "taken"
+    | "not-needed"
+    /** It is a suspect and holds a permit, which {@link Quarantine.releaseRunPermit} must release. */
+    | "granted"
     /** It is a suspect, and runs already or may only run at another router. */
     | "busy"
     /** It is held and must not run. */
@@ -71,8 +71,8 @@
             const found = await records.read(token);
             if (found.isOk()) {
                 for (const { heldUntil, ...held } of found.value) {
-                    const leftMs = Math.max(0, heldUntil.getTime() - clock.nowDate().getTime());
-                    this.ledger.applyStored({ ...held, leftMs: Math.min(leftMs, held.holdMs) }, clock.nowMs());
+                    const remainingMs = Math.max(0, heldUntil.getTime() - clock.nowDate().getTime());
+                    this.ledger.applyStored({ ...held, leftMs: Math.min(remainingMs, held.holdMs) }, clock.nowMs());
                 }
                 return;
             }
@@ -83,28 +83,28 @@
 
     /**
      * Decides whether the request may run now. The same request may arrive at several routers at the same moment under different ids,
-     * and each copy would crash a target before the first crash is reported. A suspect therefore runs only once at a time at each
-     * router, and at a single router once one more crash would hold it.
+     * and each copy would crash a target before the first crash is reported. A suspect therefore runs once at a time at each router,
+     * and at a single router only once one more crash would hold it.
      */
     public takeRunPermit(identity: RequestIdentity): RunPermit {
         if (!this.ledger.hasPrefix(identity.prefixHash)) {
-            return "free";
+            return "not-needed";
         }
         const nowMs = this.options.clock.nowMs();
         const { digest } = identity;
         const status = this.ledger.check(digest, nowMs);
         if (status === "clear") {
-            return "free";
+            return "not-needed";
         }
         if (status === "held") {
             return "held";
         }
-        const isOwnedHere = status === "suspect" || this.owners.find(hashFast(digest), nowMs) === this.options.ownId;
-        if (!isOwnedHere || this.running.has(digest)) {
+        const mayRunHere = status === "suspect" || this.owners.find(hashFast(digest), nowMs) === this.options.ownId;
+        if (!mayRunHere || this.running.has(digest)) {
             return status === "probe" ? "held" : "busy";
         }
         this.running.add(digest);
-        return "taken";
+        return "granted";
     }
 
     /** Whether the request is currently held. */
@@ -115,10 +115,13 @@
         );
     }
 
-    /** Handles a disconnect by the target. Resolves once the target has been probed; if it has crashed, the evidence is recorded by then. */
+    /**
+     * Handles a disconnect by the target. `hadOutput`: whether the request had produced output. Resolves once the target has been probed;
+     * if the target has crashed, the evidence is recorded by then.
+     */
     public async observeDisconnect(identity: RequestIdentity, target: Target, hadOutput: boolean): Promise<void> {
         const { probe, clock, logger } = this.options;
-        // A leaving target stops as planned and disconnects unfinished requests, so that it is no evidence.
+        // A leaving target stops as planned and disconnects unfinished requests, which is no evidence of a crash.
         if (target.availability.leaving !== undefined || !(await probe.hasEnded(target.entry.address))) {
             return;
         }
@@ -179,6 +182,7 @@
         }
     }
 
+    /** Requests that are currently held. */
     public listHeld(): readonly HeldRequest[] {
         return this.ledger.listHeld(this.options.clock.nowMs());
     }
@@ -188,7 +192,7 @@
         this.store.dispose();
     }
 
-    /** Writes the record of a request that has just been held. Only the router that observed the deciding crash does so, which is one call for each time. */
+    /** Stores a request that is now held. Only the router that observed the deciding crash calls this, so that each hold is stored once. */
     private recordHeld(digest: string): void {
         const held = this.ledger.findHeld(digest, this.options.clock.nowMs());
         if (held === undefined) {
--- a/src/gateway/quarantine/quarantineRecords.ts
+++ b/src/gateway/quarantine/quarantineRecords.ts
@@ -16,7 +16,10 @@
     readonly holdMs: number;
 }
 
-/** Stores held requests in the platform's store. Without it, routers that all restart at once would detect them only through further crashes. */
+/**
+ * Stores held requests in the platform's store. Without it, routers that all restart at once would detect them only through further
+ * crashes.
+ */
 export interface QuarantineRecords {
     /** Errors: the store is unavailable, or holds a record that can't be decoded. */
     read(token: CancellationToken): ResultAsync<readonly QuarantineRecord[], LynxarchError>;
--- a/src/gateway/quarantine/requestGuard.ts
+++ b/src/gateway/quarantine/requestGuard.ts
@@ -15,8 +15,8 @@
     /** Decides whether the request may run. {@link end} must be called afterwards. */
     public start(): "run" | "busy" | "held" {
         const permit = this.quarantine.takeRunPermit(this.identity);
-        this.hasRunPermit = permit === "taken";
-        return permit === "free" || permit === "taken" ? "run" : permit;
+        this.hasRunPermit = permit === "granted";
+        return permit === "not-needed" || permit === "granted" ? "run" : permit;
     }
 
     /** Whether the request may be sent to a further target. */
--- a/test/gateway/peers/peerMessage.property.test.ts
+++ b/test/gateway/peers/peerMessage.property.test.ts
@@ -7,7 +7,7 @@
 const name = fc.string({ minLength: 1, maxLength: 16 });
 const hash = fc.integer({ min: 0, max: 0xffffffff });
 const fraction = fc.nat({ max: 1_000 }).map(value => value / 1_000);
-const use = fc.record({ asked: amount, served: amount, recentlyServed: amount });
+const usage = fc.record({ asked: amount, served: amount, recentlyServed: amount });
 const rows = { minLength: 1, maxLength: 4 };
 const message: fc.Arbitrary<PeerMessage> = fc.record({
     routerId: name,
@@ -21,7 +21,7 @@
     ),
     coveredMs: amount,
     accounts: fc
-        .uniqueArray(fc.tuple(name, use), { ...rows, selector: ([account]) => account })
+        .uniqueArray(fc.tuple(name, usage), { ...rows, selector: ([account]) => account })
         .map(all => new Map(all)),
     reads: fc.array(fc.record({ targetHash: hash, partId: fc.string({ maxLength: 16 }), tokens: amount }), rows),
     peers: fc.array(fc.record({ routerId: fc.string(), ip: fc.string() }), rows),
--- a/test/gateway/peers/totalsMessage.property.test.ts
+++ b/test/gateway/peers/totalsMessage.property.test.ts
@@ -9,7 +9,7 @@
 } from "../../../src/gateway/peers/totalsMessage.js";
 
 const amount = fc.nat();
-const use = fc.record({ asked: amount, served: amount, recentlyServed: amount });
+const usage = fc.record({ asked: amount, served: amount, recentlyServed: amount });
 const message: fc.Arbitrary<TotalsMessage> = fc.record({
     scope: fc.constantFrom("router" as const, "data-centre" as const, "fleet" as const),
     totals: fc.record({
@@ -17,7 +17,7 @@
         ageMs: amount,
         coveredMs: amount,
         accounts: fc
-            .uniqueArray(fc.tuple(fc.string({ minLength: 1, maxLength: 16 }), use), {
+            .uniqueArray(fc.tuple(fc.string({ minLength: 1, maxLength: 16 }), usage), {
                 selector: ([account]) => account,
             })
             .map(rows => new Map(rows)),
