--- a/src/gateway/grants/grantMessage.ts
+++ b/src/gateway/grants/grantMessage.ts
@@ -80,11 +80,12 @@
 /** Each code identifies the format version and the kind of message. Other versions use other codes, and their messages are dropped. */
 const codes = { request: 17, reply: 18, report: 19 } as const;
 const progressCodes: readonly GrantProgress[] = ["started", "ended", "not-run"];
-/** Maximum number of shared parts in a message. Prompts have only a few; more would make the message large without use. */
+/** Maximum number of shared parts in a message. Prompts have only a few; more would only make the message large. */
 const maxParts = 32;
 /** Fractions are sent as whole thousandths. */
 const usageScale = 1_000;
 
+/** Maximum length of a part's id; characters. */
 const maxPartIdLength = 64;
 const requestLength = 14;
 const replyLength = 9;
--- a/src/gateway/peers/accountAggregation.ts
+++ b/src/gateway/peers/accountAggregation.ts
@@ -88,7 +88,8 @@
     private others: OtherRouters | undefined;
     private readonly suspectedUntilMs = new Map<string, number>();
     private aggregatorId: string | undefined;
-    private totalsReceivedAtMs = 0;
+    /** When the last totals of the current aggregator were received, or the wait for them began. */
+    private answeredAtMs = 0;
     private reportedAtMs = Number.NEGATIVE_INFINITY;
 
     public constructor(private readonly options: AccountAggregationOptions) {
@@ -127,7 +128,7 @@
             case "fleet":
                 if (senderId === this.aggregatorId) {
                     this.applyFleet(totals, received.receivedAtMs);
-                    this.totalsReceivedAtMs = received.receivedAtMs;
+                    this.answeredAtMs = received.receivedAtMs;
                 }
                 break;
         }
@@ -195,10 +196,10 @@
         const previousId = this.aggregatorId;
         // Without reports of this router no totals were due, so that none are missing.
         if (nowMs - this.reportedAtMs > inactivityTimeoutMs) {
-            this.totalsReceivedAtMs = nowMs;
+            this.answeredAtMs = nowMs;
         }
         this.reportedAtMs = nowMs;
-        if (previousId !== undefined && previousId !== ownId && nowMs - this.totalsReceivedAtMs > inactivityTimeoutMs) {
+        if (previousId !== undefined && previousId !== ownId && nowMs - this.answeredAtMs > inactivityTimeoutMs) {
             this.suspectedUntilMs.set(previousId, nowMs + suspicionMs);
         }
         for (const [routerId, untilMs] of this.suspectedUntilMs) {
@@ -213,7 +214,7 @@
         ].filter(({ routerId }) => !this.suspectedUntilMs.has(routerId));
         this.aggregatorId = chooseAggregator(dataCentre, candidates);
         if (this.aggregatorId !== previousId) {
-            this.totalsReceivedAtMs = nowMs;
+            this.answeredAtMs = nowMs;
         }
     }
 }
--- a/src/gateway/peers/peerMessage.ts
+++ b/src/gateway/peers/peerMessage.ts
@@ -43,7 +43,7 @@
     readonly startedAtMs: number;
 }
 
-/** A router's condition. */
+/** Location, capacity and load of a router, as reported to its peers. */
 export interface RouterCondition {
     readonly dataCentre: string;
     /** Fraction of a core that the router may use. */
--- a/src/gateway/peers/peerState.ts
+++ b/src/gateway/peers/peerState.ts
@@ -63,7 +63,7 @@
     private readonly directory: PeerDirectory;
     private readonly aggregation: AccountAggregation;
     private readonly incarnation: number;
-    private readonly recentPrefills: { readonly prefill: PartPrefill; rounds: number }[] = [];
+    private readonly recentPrefills: { readonly read: PartPrefill; rounds: number }[] = [];
     private sequence = 0;
     private currentRound: PeerRound = { messageBytes: 0, periodMs: minPeriodMs };
     private lastLoadUpdateAtMs = Number.NEGATIVE_INFINITY;
@@ -132,7 +132,7 @@
 
     /** Adds a prefill to this router's next messages. */
     public recordPrefill(targetHash: number, partId: string, tokens: number): void {
-        this.recentPrefills.push({ prefill: { targetHash, partId, tokens }, rounds: 0 });
+        this.recentPrefills.push({ read: { targetHash, partId, tokens }, rounds: 0 });
     }
 
     /** Creates the message of the next round. */
@@ -205,6 +205,6 @@
         }
         const remaining = this.recentPrefills.filter(entry => entry.rounds < roundsPerPrefill);
         this.recentPrefills.splice(0, this.recentPrefills.length, ...remaining);
-        return reported.map(entry => entry.prefill);
+        return reported.map(entry => entry.read);
     }
 }
--- a/test/gateway/crashingRequests.test.ts
+++ b/test/gateway/crashingRequests.test.ts
@@ -29,13 +29,13 @@
 
 async function sendFatal(id: string, router: number, path = "/plan/x"): Promise<CallerResponse> {
     const headers = createPromptHeaders(id);
-    const answer = await fixture.current.send({ path, headers, body: fatalBody }, router);
+    const response = await fixture.current.send({ path, headers, body: fatalBody }, router);
     await new Promise(resolve => setTimeout(resolve, settleMs));
     // The platform removes crashed targets, as their heartbeats are missing.
     for (const target of fixture.current.targets.filter(({ hasEnded }) => hasEnded)) {
         fixture.current.store.write("keyed.servers", target.instanceId, undefined);
     }
-    return answer;
+    return response;
 }
 
 function countEnded(): number {
@@ -64,11 +64,11 @@
     it("runs once at a time at each router after the first crash", async () => {
         await startFleet(8, 2);
         await sendFatal("fatal-1", 0, "/once/x");
-        const answers = await Promise.all(
+        const responses = await Promise.all(
             [0, 0, 0, 1, 1, 1].map((router, index) => sendFatal(`again-${index}`, router, "/once/x")),
         );
         expect(countEnded()).toBeLessThanOrEqual(3);
-        expect(answers.filter(({ status }) => status === 503).length).toBeGreaterThanOrEqual(4);
+        expect(responses.filter(({ status }) => status === 503).length).toBeGreaterThanOrEqual(4);
     });
 
     // Without the stored record the evidence is only in the routers' memory; restarted, they would need three further crashes.
@@ -78,8 +78,8 @@
         await sendFatal("fatal-2", 0);
         fixture.current.routers.splice(0).forEach(({ daemon }) => daemon.dispose());
         await fixture.current.addRouter();
-        const answer = await sendFatal("fatal-3", 0);
-        expect({ status: answer.status, ended: countEnded() }).toEqual({ status: 502, ended: 3 });
+        const response = await sendFatal("fatal-3", 0);
+        expect({ status: response.status, ended: countEnded() }).toEqual({ status: 502, ended: 3 });
     });
 
     // The store is restored from a copy without the record; routers that start later would need three further crashes.
@@ -91,8 +91,8 @@
         await waitUntil(() => fixture.current.store.hasKeys("keyed.quarantine"));
         fixture.current.routers.splice(0).forEach(({ daemon }) => daemon.dispose());
         await fixture.current.addRouter();
-        const answer = await sendFatal("fatal-3", 0);
-        expect({ status: answer.status, ended: countEnded() }).toEqual({ status: 502, ended: 3 });
+        const response = await sendFatal("fatal-3", 0);
+        expect({ status: response.status, ended: countEnded() }).toEqual({ status: 502, ended: 3 });
     });
 
     // The cause of the crashes is fixed, but the next trial would only take place minutes later.
@@ -141,8 +141,8 @@
         await sendFatal("fatal-1", 0);
         await sendFatal("fatal-2", 0);
         const headers = createPromptHeaders("harmless");
-        const answer = await fixture.current.send({ path: "/plan/x", headers, body: "another body" });
-        expect(answer.status).toBe(200);
+        const response = await fixture.current.send({ path: "/plan/x", headers, body: "another body" });
+        expect(response.status).toBe(200);
     });
 });
 
@@ -152,11 +152,11 @@
         const target = await fixture.current.addTarget("engines", "engine-1");
         await fixture.current.addRouter();
         target.scripts.push("break-off", "break-off", "break-off", "break-off");
-        const answers: CallerResponse[] = [];
+        const responses: CallerResponse[] = [];
         for (let index = 0; index < 5; index++) {
             const headers = createPromptHeaders(`reset-${index}`);
-            answers.push(await fixture.current.send({ path: "/once/x", headers, body: "same" }));
+            responses.push(await fixture.current.send({ path: "/once/x", headers, body: "same" }));
         }
-        expect(answers.map(({ isIncomplete: isBroken }) => isBroken)).toEqual([true, true, true, true, false]);
+        expect(responses.map(({ isIncomplete }) => isIncomplete)).toEqual([true, true, true, true, false]);
     });
 });
--- a/test/gateway/grants/grantOwner.test.ts
+++ b/test/gateway/grants/grantOwner.test.ts
@@ -51,8 +51,8 @@
     };
     directory.applyChange({ kind: "target", id, entry: { ...entry, state: "ready", startedAtMs } });
     const firstTokenModels = new LazyMap(() => new FirstTokenModel());
-    const readingShares = new LazyMap(() => new PrefillShare());
-    const owner = new GrantOwner({ directory, clock, firstTokenModels, prefillShares: readingShares });
+    const prefillShares = new LazyMap(() => new PrefillShare());
+    const owner = new GrantOwner({ directory, clock, firstTokenModels, prefillShares });
     const before = owner.check("router-2", request);
     directory.applyLeaving([{ targetHash: hashFast(id), startedAtMs }]);
     const after = owner.check("router-2", { ...request, grantId: 2 });
--- a/test/gateway/peers/accountAggregation.test.ts
+++ b/test/gateway/peers/accountAggregation.test.ts
@@ -15,7 +15,7 @@
 /** Routers whose messages arrive immediately, except that unresponsive ones send none. */
 class Fleet {
     public readonly clock = new ManualClock();
-    public readonly unresponsive = new Set<string>();
+    public readonly silent = new Set<string>();
     public readonly sent: string[] = [];
     private readonly conditions = new Map(routerIds.map(id => [id, createCondition(id)]));
     private readonly routers = new Map(routerIds.map(id => [id, this.createRouter(id)]));
@@ -25,7 +25,7 @@
         for (let period = 0; period < periods; period++) {
             this.sent.length = 0;
             for (const [senderId, router] of this.routers) {
-                for (const { routerId, message } of this.unresponsive.has(senderId) ? [] : router.createMessages()) {
+                for (const { routerId, message } of this.silent.has(senderId) ? [] : router.createMessages()) {
                     this.sent.push(`${senderId} to ${routerId}: ${message.scope}`);
                     this.routers.get(routerId)?.applyMessage(senderId, message);
                 }
@@ -47,11 +47,11 @@
     }
 
     private createRouter(ownId: string): AccountAggregation {
-        const use = { asked: 20, served: servedPerRouter, recentlyServed: servedPerRouter };
+        const usage = { asked: 20, served: servedPerRouter, recentlyServed: servedPerRouter };
         return new AccountAggregation({
             ownId,
             clock: this.clock,
-            listOwnAccounts: () => ({ coveredMs: 4_000, accounts: new Map([["north", use]]) }),
+            listOwnAccounts: () => ({ coveredMs: 4_000, accounts: new Map([["north", usage]]) }),
             getCondition: () => createCondition(ownId),
             getConditions: () => new Map([...this.conditions].filter(([id]) => id !== ownId)),
         });
@@ -89,7 +89,7 @@
     it("is not used once its aggregator is unresponsive, until another one has replaced it", () => {
         const fleet = new Fleet();
         fleet.run(3);
-        fleet.unresponsive.add("a-1");
+        fleet.silent.add("a-1");
         const seen: string[] = [];
         for (const periods of [5, 2, 6]) {
             fleet.run(periods);
--- a/test/gateway/peers/peerDirectory.test.ts
+++ b/test/gateway/peers/peerDirectory.test.ts
@@ -125,8 +125,8 @@
         const describeAll = (): string => {
             const { routerIds, unheard, isSettled } = directory.routers;
             const utilizations = [...directory.conditions].map(([id, { utilization }]) => `${id} at ${utilization}`);
-            const uses = directory.accountReports.map(({ accounts, ageMs }) => `${accounts.size} of ${ageMs} ms`);
-            return [routerIds.join(" "), unheard, isSettled, ...utilizations, ...uses].join(", ");
+            const reports = directory.accountReports.map(({ accounts, ageMs }) => `${accounts.size} of ${ageMs} ms`);
+            return [routerIds.join(" "), unheard, isSettled, ...utilizations, ...reports].join(", ");
         };
         const condition = { dataCentre: "dc-a", processorShare: 1, utilization: 0.75, isWithdrawn: false };
         const seen = [describeAll()];
