--- a/src/gateway/grants/grantOwner.ts
+++ b/src/gateway/grants/grantOwner.ts
@@ -11,69 +11,71 @@
 import type { TargetDirectory } from "../targetDirectory.js";
 import type { GrantReply, GrantReport, GrantRequest } from "./grantMessage.js";
 
-/** What a {@link GrantOwner} needs. */
+/** Dependencies of a {@link GrantOwner}. */
 export interface GrantOwnerOptions {
     readonly directory: TargetDirectory;
     readonly clock: Clock;
-    /** Per service. */
+    /** First-token models by service. */
     readonly firstTokenModels: LazyMap<FirstTokenModel>;
-    /** Per service. */
+    /** Prefill shares by service. */
     readonly prefillShares: LazyMap<PrefillShare>;
 }
 
-/** Engines whose books are kept; several times those that one router of a large fleet owns. */
-const mostBooks = 4_096;
-/** Several rounds of messages between routers. */
+/** Maximum number of engines with state in memory; several times what one router of a large fleet owns. */
+const maxEngines = 4_096;
+/** Retry delay of a denial for a leaving target; covers several message rounds between routers. Milliseconds. */
 const leavingDenialMs = 4_000;
 
-/** What is kept of one engine. */
-interface EngineBooks {
+/** State of one engine. */
+interface EngineState {
     readonly budget: EngineBudget;
     readonly shares: EngineShares;
 }
 
-/** Decides on sends to the engines that this router owns, for all routers. */
+/** Grants or denies sends to the engines that this router owns, on behalf of all routers. */
 export class GrantOwner {
-    private readonly books = new LRUCache<number, EngineBooks>({ max: mostBooks });
+    private readonly engines = new LRUCache<number, EngineState>({ max: maxEngines });
 
     public constructor(private readonly options: GrantOwnerOptions) {}
 
-    /** `senderId`: the asking router. */
+    /** Decides on a request. `senderId`: id of the router that sent it. */
     public check(senderId: string, request: GrantRequest): GrantReply {
         const target = this.options.directory.findByHash(request.targetHash);
         if (target === undefined) {
             return createUnknownReply(request);
         }
-        // The asking router has not learnt it yet, and would send by its own beliefs to a target that is about to end.
+        // The sender has not yet received that the target is leaving. Without a denial it would decide by its estimates and send to a
+        // target that is about to stop.
         if (target.availability.leaving !== undefined && !request.isUnconditional) {
             return createLeavingReply(request);
         }
         const nowMs = this.options.clock.nowMs();
         const rate = this.createRate(target);
         const newTokens = countNewTokens(target, request);
-        const reading = {
+        const prefill = {
             id: formatGrantKey(senderId, request),
             tokens: newTokens,
             maxQueuedTokens: request.maxWaitMs * rate.tokensPerMs,
-            maxUsage: this.computeMostUse(request, nowMs),
+            maxUsage: this.computeMaxUsage(request, nowMs),
             windowMs: request.windowMs,
         };
-        const { budget, shares } = this.findBooks(request.targetHash);
+        const { budget, shares } = this.findEngine(request.targetHash);
         shares.recordRequested(request.accountHash, request.chargedTokens, nowMs);
-        const decision = budget.check(reading, rate, nowMs);
+        const decision = budget.check(prefill, rate, nowMs);
         if (request.isUnconditional) {
-            budget.record(reading, rate, nowMs);
+            budget.record(prefill, rate, nowMs);
         }
         if (decision.granted || request.isUnconditional) {
             shares.recordGranted(request.accountHash, request.chargedTokens, nowMs);
             recordParts(target, request, newTokens);
         }
-        const { maxUsage: mostUse } = reading;
-        return { kind: "reply", grantId: request.grantId, isKnown: true, newTokens, maxUsage: mostUse, ...decision };
+        const { maxUsage } = prefill;
+        return { kind: "reply", grantId: request.grantId, isKnown: true, newTokens, maxUsage, ...decision };
     }
 
+    /** Applies a progress report. `senderId`: id of the router that holds the grant. */
     public applyReport(senderId: string, report: GrantReport): void {
-        const { budget } = this.findBooks(report.targetHash);
+        const { budget } = this.findEngine(report.targetHash);
         const key = formatGrantKey(senderId, report);
         if (report.progress === "started") {
             budget.recordStart(key);
@@ -82,51 +84,48 @@
         }
     }
 
-    /** The part of the limit that the asking router named, or less where the account has had much at this engine. */
-    private computeMostUse(
-        { targetHash, accountHash, chargedTokens, maxUsage: mostUse }: GrantRequest,
-        nowMs: number,
-    ): number {
-        const surplus = this.findBooks(targetHash).shares.computeSurplus(accountHash, chargedTokens, nowMs);
-        return Math.min(mostUse, computeMaxEngineUsage(surplus));
+    /** Fraction of the limit that the request may use: that in the request, or less if the engine has already served its account much. */
+    private computeMaxUsage({ targetHash, accountHash, chargedTokens, maxUsage }: GrantRequest, nowMs: number): number {
+        const surplus = this.findEngine(targetHash).shares.computeSurplus(accountHash, chargedTokens, nowMs);
+        return Math.min(maxUsage, computeMaxEngineUsage(surplus));
     }
 
-    private findBooks(targetHash: number): EngineBooks {
-        let books = this.books.get(targetHash);
-        if (books === undefined) {
-            books = { budget: new EngineBudget(), shares: new EngineShares() };
-            this.books.set(targetHash, books);
+    private findEngine(targetHash: number): EngineState {
+        let engine = this.engines.get(targetHash);
+        if (engine === undefined) {
+            engine = { budget: new EngineBudget(), shares: new EngineShares() };
+            this.engines.set(targetHash, engine);
         }
-        return books;
+        return engine;
     }
 
     private createRate({ entry }: Target): EngineRate {
-        const { firstTokenModels, prefillShares: readingShares } = this.options;
+        const { firstTokenModels, prefillShares } = this.options;
         return {
             tokensPerMs: firstTokenModels.getOrCreate(entry.service).prefillTokensPerMs,
             slots: entry.slots,
-            readingShare: readingShares.getOrCreate(entry.service).current,
+            readingShare: prefillShares.getOrCreate(entry.service).current,
         };
     }
 }
 
-/** A denial that holds until the asking router has learnt from its peers that the target is leaving. */
-function createLeavingReply({ grantId, maxUsage: maxUsage }: GrantRequest): GrantReply {
-    const full = { newTokens: 0, queuedTokens: 0, usage: 1, maxUsage: maxUsage, retryAfterMs: leavingDenialMs };
-    return { kind: "reply", grantId, isKnown: true, granted: false, ...full };
+/** A denial that holds until the sender has received from its peers that the target is leaving. */
+function createLeavingReply({ grantId, maxUsage }: GrantRequest): GrantReply {
+    const denial = { newTokens: 0, queuedTokens: 0, usage: 1, maxUsage, retryAfterMs: leavingDenialMs };
+    return { kind: "reply", grantId, isKnown: true, granted: false, ...denial };
 }
 
 function createUnknownReply({ grantId }: GrantRequest): GrantReply {
-    const nothing = { newTokens: 0, queuedTokens: 0, usage: 0, maxUsage: 0, retryAfterMs: 0 };
-    return { kind: "reply", grantId, isKnown: false, granted: false, ...nothing };
+    const zeros = { newTokens: 0, queuedTokens: 0, usage: 0, maxUsage: 0, retryAfterMs: 0 };
+    return { kind: "reply", grantId, isKnown: false, granted: false, ...zeros };
 }
 
-/** Tokens that the engine has to read, by what was granted there before. */
+/** Prompt tokens that the engine has to prefill: those not cached there by earlier requests and not copied from another engine. */
 function countNewTokens(target: Target, { sharedParts, ownTokens, copiedTokens }: GrantRequest): number {
     return ownTokens + Math.max(0, countMissingTokens(target, sharedParts) - copiedTokens);
 }
 
-/** The engine keeps what it is about to read; other routers report it a round later. */
+/** Records as cached what the engine is about to prefill. Peers' messages report it only a round later. */
 function recordParts(target: Target, { sharedParts, outputTokens }: GrantRequest, newTokens: number): void {
     sharedParts.forEach(part => target.recordPart(part.id, part.tokens));
     target.recordPeerWrittenTokens(newTokens + outputTokens);
--- a/test/gateway/grants/grantOwner.test.ts
+++ b/test/gateway/grants/grantOwner.test.ts
@@ -30,8 +30,8 @@
     isUnconditional: false,
 };
 
-// The owner of an engine knows that it is leaving, and the asking router does not yet.
-it("denies prompts at an engine that is leaving", () => {
+// The owner has received that the engine is leaving, and the sender of the request has not yet.
+it("denies prompts for an engine that is leaving", () => {
     const clock = new ManualClock();
     const directory = new TargetDirectory({
         clock,
@@ -51,8 +51,8 @@
     };
     directory.applyChange({ kind: "target", id, entry: { ...entry, state: "ready", startedAtMs } });
     const firstTokenModels = new LazyMap(() => new FirstTokenModel());
-    const readingShares = new LazyMap(() => new PrefillShare());
-    const owner = new GrantOwner({ directory, clock, firstTokenModels, prefillShares: readingShares });
+    const prefillShares = new LazyMap(() => new PrefillShare());
+    const owner = new GrantOwner({ directory, clock, firstTokenModels, prefillShares });
     const before = owner.check("router-2", request);
     directory.applyLeaving([{ targetHash: hashFast(id), startedAtMs }]);
     const after = owner.check("router-2", { ...request, grantId: 2 });
