--- a/src/decisions/shares/accountShares.ts
+++ b/src/decisions/shares/accountShares.ts
@@ -1,68 +1,85 @@
 /**
  * Max-min fair shares of the fleet's throughput among client accounts, over a sliding window.
  *
- * Load pattern: one account sends many times its usual, or a few large accounts ask for more than all engines give. Without
- * shares, what is refused for want of capacity hits everybody alike, so the small accounts lose most of the little they
- * ask for. With them, an account that asks for less than the even share gets all of it, and those that ask for more get
- * equal amounts (max-min fairness; Bertsekas and Gallager, Data Networks, 6.5.2).
+ * Load pattern: one account sends many times its usual load, or a few large accounts request more than all engines can
+ * serve. Without shares, refusals for lack of capacity affect all accounts alike, so small accounts lose most of the
+ * little they request. With shares, an account that requests less than the even share receives all of it, and accounts
+ * that request more receive equal amounts (max-min fairness; Bertsekas and Gallager, Data Networks, 6.5.2).
  *
- * Two figures come of it. The use of the *share* compares what an account got in the window with its part of what the fleet
- * is meant to give: up to it the account is owed service. The use of the *surplus* compares what it got just now with
- * the even level of what the fleet gives in fact, which may be twice as much: without it, what is left over goes to
- * whoever asks most often, and an account that pays back an earlier flood gets nothing beside one that begins its own.
+ * Two ratios are computed for each account. The *share* ratio compares what the account was served within the window
+ * with its fair share of the fleet's nominal throughput; below 1 the account is entitled to service. The *surplus*
+ * ratio compares what the account was served recently with the fair level of the fleet's actual throughput, which may
+ * be twice the nominal one. Without the surplus ratio, spare capacity would go to the account with the most requests,
+ * and an account that is still compensating for an earlier burst would receive nothing next to one whose burst has just
+ * begun.
  *
- * Routers report to each other what accounts asked of them and got, so that the sums are the fleet's; what has happened since
- * is estimated ({@link PeerEstimate}).
+ * Routers report to each other what accounts requested and were served, so the totals cover the whole fleet. What has
+ * happened since the last report is estimated ({@link PeerEstimate}).
  */
 import type { AccountUse } from "./accountUse.js";
 import { PeerEstimate, type ReportedAccounts, type OwnSample } from "./peerEstimate.js";
 import { WindowedSum } from "../structures/windowedSum.js";
 
-/** One router's accounts. */
+/** The usage of the client accounts that one router serves. */
 export interface RouterAccounts {
-    /** Time that the sums cover: the window, or less since the router's first request; milliseconds. */
+    /**
+     * Time covered by the counters, in milliseconds: the window, or less if the router's first request is more recent.
+     */
     readonly coveredMs: number;
     readonly accounts: ReadonlyMap<string, AccountUse>;
 }
 
-/** What another router said of its accounts, and when. */
+/** The account usage that another router reported, with the age of the report. */
 export interface ReportedRouter extends RouterAccounts, ReportedAccounts {}
 
-/** An account's use of what it may have; 1 is all of it. */
+/** How much of its fair share an account uses; 1 means all of it. */
 export interface ShareUse {
-    /** Of its fair share of what the fleet is meant to give, over the window or in a burst just now. */
+    /**
+     * Ratio to the account's fair share of the fleet's nominal throughput, over the window or in a recent burst; the
+     * higher of the two.
+     */
     readonly share: number;
-    /** Of the even level of what the fleet gives just now. */
+    /** Ratio to the fair level of the fleet's actual throughput within the recent window. */
     readonly surplus: number;
-    /** Mean age of the other routers' sums that both come of; milliseconds. */
+    /** Mean age of the other routers' reports that both ratios are based on, in milliseconds. */
     readonly sumsAgeMs: number;
 }
 
-/** An account that has asked for nothing yet. */
+/** Usage of an account that has not requested anything yet. */
 export const noUse: ShareUse = { share: 0, surplus: 0, sumsAgeMs: 0 };
 
-/** Accounts that were quiet for this many windows are forgotten. */
+/** Accounts without activity for this many windows are removed. */
 const forgetAfterWindows = 4;
 /**
- * Span over which surplus is levelled: long enough that one long prompt does not decide it, and short enough that an
- * account is not held back for what it got seconds ago.
+ * Window for the surplus ratio, in milliseconds. It is long enough that a single long prompt does not dominate, and
+ * short enough that an account is not held back for what it was served seconds ago.
  */
 const recentSpanMs = 1_500;
 /**
- * What an account got within the recent span counts by this much towards its share. By the window alone, one that was quiet may
- * take a whole window's share at once when it begins to flood, and for that second others beyond their share get
- * nothing. With it an account is beyond its share at 1.25 times its share of the recent span, as the surplus is levelled.
+ * Weight of recently served tokens in the share ratio. By the window alone, an account that was inactive could take a
+ * whole window's share at once when its burst begins, and for that second other accounts beyond their share would be
+ * served nothing. With this weight an account exceeds its share at about 1.25 times its share of the recent window, as
+ * the surplus ratio is compared with the fair level as well.
  */
 const burstWeight = 0.6;
-/** Least time that sums count for: right after a start one prompt would be more than everybody's share. */
+/** Minimum covered time in milliseconds. Directly after a start, a single prompt would exceed every account's share. */
 const leastCoveredMs = 500;
-/** The fleet's sums are made anew this often: going over all routers' accounts for each request costs more than it gains. */
+/**
+ * Lifetime of computed fleet totals in milliseconds. Merging all routers' accounts for each request would cost more
+ * than the fresher values are worth.
+ */
 const sumTtlMs = 20;
-/** Where callers are can't be told from older sums: an account that has just begun to flood seems to reach this router alone. */
+/**
+ * Maximum age of the totals, in milliseconds, for estimating how an account's requests are spread over routers. With
+ * older totals, an account whose burst has just begun appears to use this router only.
+ */
 const mostPartAgeMs = 300;
 const msPerSecond = 1_000;
 
-/** The level at which capacity is used up when everybody gets at most that much; infinite while capacity suffices. */
+/**
+ * The fair level: the maximum amount per account at which the capacity is fully used. Infinite while the capacity
+ * covers all requested amounts.
+ */
 export function computeFairLevel(asked: readonly number[], capacity: number): number {
     const sorted = [...asked].sort((a, b) => a - b);
     let left = capacity;
@@ -76,26 +93,26 @@
     return Number.POSITIVE_INFINITY;
 }
 
-/** Sums over all routers. */
+/** Account usage summed over all routers. */
 interface FleetSums {
     readonly atMs: number;
     readonly coveredMs: number;
     readonly uses: ReadonlyMap<string, AccountUse>;
-    /** Of this router alone. */
+    /** Requested tokens per account at this router only. */
     readonly ownAsked: ReadonlyMap<string, number>;
     readonly recentlyServed: number;
     readonly ageMs: number;
 }
 
-/** What accounts may have by sums over all routers; tokens. */
+/** Fair levels per account, derived from the totals over all routers, in tokens. */
 interface FairLevels {
     readonly sums: FleetSums;
     readonly tokensPerSecond: number;
-    /** Of what the fleet is meant to give in the window. */
+    /** Fair level of the nominal throughput over the covered window. */
     readonly window: number;
-    /** The same of the recent span. */
+    /** Fair level of the nominal throughput over the recent window. */
     readonly recent: number;
-    /** Of what the fleet gave in the recent span, or else of what it is meant to give. */
+    /** Fair level of the tokens actually served within the recent window; at least the nominal level `recent`. */
     readonly surplus: number;
 }
 
@@ -106,7 +123,7 @@
     lastAtMs: number;
 }
 
-/** Keeps what this router's accounts asked and got, and compares with the fleet's fair level. */
+/** Records what this router's accounts requested and were served, and compares it with the fleet's fair level. */
 export class AccountShares {
     private readonly own = new Map<string, OwnUse>();
     private firstAtMs: number | undefined;
@@ -120,14 +137,14 @@
         this.openAccount(account, nowMs).asked.add(tokens, nowMs);
     }
 
-    /** `tokens` is negative to take back what was counted for a request that then failed. */
+    /** Records tokens as served. Negative `tokens` revert what was recorded for a request that failed later. */
     public recordServed(account: string, tokens: number, nowMs: number): void {
         const use = this.openAccount(account, nowMs);
         use.served.add(tokens, nowMs);
         use.recent.add(tokens, nowMs);
     }
 
-    /** What this router's accounts asked and got in the window. */
+    /** Lists what this router's accounts requested and were served within the window, and removes inactive accounts. */
     public listOwn(nowMs: number): RouterAccounts {
         const accounts = new Map<string, AccountUse>();
         for (const [account, use] of this.own) {
@@ -146,8 +163,8 @@
     }
 
     /**
-     * How the account stands; above 1 it has had its part.
-     * `peers`: what other routers say of the accounts; `tokensPerSecond`: what the fleet is meant to give.
+     * Computes how much of its fair share the account uses; above 1 it has used up its share. `peers` holds the other
+     * routers' reports, `tokensPerSecond` the fleet's nominal throughput.
      */
     public computeUse(
         account: string,
@@ -168,7 +185,10 @@
         };
     }
 
-    /** Part of what the account asked the fleet for that it asked this router for, 0 to 1; 0 while too little is known of the others. */
+    /**
+     * Fraction of the account's requested tokens in the fleet that this router received, 0 to 1. It is 0 while the
+     * other routers' reports are missing or too old.
+     */
     public computeOwnPart(account: string): number {
         const { sums } = this;
         const asked = sums?.uses.get(account)?.asked ?? 0;
@@ -177,7 +197,7 @@
             : Math.min(1, (sums.ownAsked.get(account) ?? 0) / asked);
     }
 
-    /** The levels are the same for all accounts until the sums are made anew. */
+    /** The levels are the same for all accounts until the totals are recomputed. */
     private findLevels(sums: FleetSums, tokensPerSecond: number): FairLevels {
         if (this.levels?.sums !== sums || this.levels.tokensPerSecond !== tokensPerSecond) {
             this.levels = computeLevels(sums, tokensPerSecond);
@@ -206,7 +226,8 @@
             recentlyServed += use.recentlyServed;
             uses.set(name, use);
         }
-        // A router that was just started knows little; the others' sums cover their whole window all the same.
+        // A router that has just started has little data of its own, but the other routers' counters cover their whole
+        // window.
         const coveredMs = Math.max(leastCoveredMs, own.coveredMs, ...peers.map(peer => peer.coveredMs));
         const ownAsked = new Map([...own.accounts].map(([name, use]) => [name, use.asked]));
         return { atMs: nowMs, coveredMs, uses, ownAsked, recentlyServed, ageMs: estimate.meanAgeMs };
--- a/src/decisions/shares/accountTotals.ts
+++ b/src/decisions/shares/accountTotals.ts
@@ -1,41 +1,45 @@
 /**
- * Sums of what accounts asked and got over many routers, and which routers they are over.
+ * Account usage summed over several routers, with the list of routers whose reports are included.
  *
- * Load pattern: an account floods a large fleet. Reports from each router to all others grow rarer with their number, and what happened
- * since is each router's own guess. Guesses differ by a factor of two and more, and a flood that asks at every router is
- * let in by those that guess least, while an account at one router has one guess. Summed at one router of each data centre, reports
- * are a fraction of a second old at any size, and all routers decide by the same sums.
+ * Load pattern: an account overloads a large fleet. The more routers there are, the less often each of them reports to
+ * all others, and what has happened since is estimated by each router on its own. These estimates differ by a factor of
+ * two and more. An account that sends to every router is admitted by those with the lowest estimates, while an account
+ * at one router depends on one estimate. When one router of each data centre sums up the reports, they are a fraction
+ * of a second old at any fleet size, and all routers decide by the same totals.
  */
 import type { AccountUse } from "./accountUse.js";
 
-/** A router's report that is part of a sum. */
+/** Identifies a router's report that is included in totals. */
 export interface TotalsMember {
     /** 32-bit hash of the router's id. */
     readonly routerHash: number;
-    /** Rises with each report of the router, also over its restarts. */
+    /** Increases with each report of the router, also across restarts. */
     readonly sequence: number;
 }
 
-/** Sums over the reports of some routers; a single report is the sum over its router. */
+/** Usage summed over the reports of some routers; a single report counts as the totals of its router. */
 export interface AccountTotals {
     readonly members: readonly TotalsMember[];
-    /** Mean age of the reports when the sums were made; milliseconds. */
+    /** Mean age of the reports when the totals were computed, in milliseconds. */
     readonly ageMs: number;
-    /** Longest time that a report covers; milliseconds. */
+    /** Longest time covered by any of the reports, in milliseconds. */
     readonly coveredMs: number;
     readonly accounts: ReadonlyMap<string, AccountUse>;
 }
 
-/** Totals and how long ago they were received. */
+/** Totals with the time at which they were received. */
 export interface ReceivedTotals {
     readonly totals: AccountTotals;
     readonly receivedAtMs: number;
 }
 
-/** No router's reports. */
+/** Totals without any reports. */
 export const noTotals: AccountTotals = { members: [], ageMs: 0, coveredMs: 0, accounts: new Map() };
 
-/** Sums up what was received; totals that share a router with earlier ones of the list are left out, as it would count twice. */
+/**
+ * Adds up received totals. Totals that share a router with earlier ones in the list are skipped, because that router
+ * would be counted twice.
+ */
 export function mergeTotals(received: readonly ReceivedTotals[], nowMs: number): AccountTotals {
     const members = new Map<number, TotalsMember>();
     const accounts = new Map<string, AccountUse>();
@@ -53,7 +57,7 @@
     return { members: [...members.values()], ageMs: ageSum / Math.max(1, members.size), coveredMs, accounts };
 }
 
-/** The totals without a report that is part of them. */
+/** Subtracts a report that is included in the totals. */
 export function removeReport(totals: AccountTotals, report: AccountTotals): AccountTotals {
     const removed = new Set(report.members.map(member => member.routerHash));
     const accounts = new Map<string, AccountUse>();
--- a/src/decisions/shares/accountUse.ts
+++ b/src/decisions/shares/accountUse.ts
@@ -1,7 +1,7 @@
-/** What an account asked for and got within the window, in tokens. */
+/** What an account requested and was served within the window, in tokens. `asked` counts the requested tokens. */
 export interface AccountUse {
     readonly asked: number;
     readonly served: number;
-    /** Of `served`, what it got within the span over which surplus is levelled. */
+    /** Part of `served` that falls within the shorter window of the surplus ratio. */
     readonly recentlyServed: number;
 }
--- a/src/decisions/shares/catchUpCap.ts
+++ b/src/decisions/shares/catchUpCap.ts
@@ -1,6 +1,8 @@
-/** An account may lag the leader by what the leader gained within this time; milliseconds. */
+/**
+ * An account may lag behind the leading account by at most what the leader gained within this time, in milliseconds.
+ */
 export const catchUpWindowMs = 5_000;
-/** ... and never by less than this many of the largest normalized cost seen lately. */
+/** The allowed lag is at least this many times the largest normalized cost of a recent request. */
 export const catchUpCosts = 8;
 
 const sampleEveryMs = 500;
@@ -12,18 +14,19 @@
 }
 
 /**
- * Limits how far a backlogged account may lag the one with the most service.
+ * Limits how far a backlogged account may lag behind the account with the most service.
  *
- * Load pattern: a partition heals. One side has served an account for minutes that the other side could not see.
- * Served strictly by its service, the account that led would now get nothing until all others have made up for
- * minutes; its callers see a stall. An account that lags is therefore lifted to within the cap.
+ * Load pattern: a network partition heals. One side has served an account for minutes, which the other side could not
+ * observe. If accounts were served strictly by their service, the leading account would now be served nothing until all
+ * others have caught up by minutes of service, and its callers would see a stall. A lagging account is therefore lifted
+ * to the allowed lag.
  *
- * Five seconds of the leader's own gain is far more than exchanges can be stale (about a second), so that ordinary
- * staleness is corrected whole; and it is the longest that a leader waits for others to catch up, at any rate of the
- * fleet. The second limit, eight of the largest cost, is for slow services on which one request weighs more than five
- * seconds of gain: several agents with the same view may each start one request of the same account at once.
- * The floor takes the least of the samples, so that a leader whose estimate is refunded, or who has just become
- * visible, lifts nobody.
+ * The window of five seconds of the leader's own gain is far longer than exchanges can be stale (about a second), so
+ * ordinary staleness is fully compensated. It is also the longest time that a leader waits for others to catch up, at
+ * any throughput of the fleet. The second limit, eight times the largest cost, is for slow services on which one
+ * request weighs more than five seconds of gain: several agents with the same state may each start one request of the
+ * same account at once. The floor uses the minimum of the samples, so that no account is lifted because of a leader
+ * whose estimate is later refunded or who has only just become visible.
  */
 export class CatchUpCap {
     private readonly samples: Sample[] = [];
@@ -31,7 +34,7 @@
     private largestBefore = 0;
     private largestFromMs = 0;
 
-    /** Notes the normalized cost of a request that was started. */
+    /** Records the normalized cost of a request that was started. */
     public observeCost(normalizedCost: number, nowMs: number): void {
         if (nowMs - this.largestFromMs > largestCostSpanMs) {
             this.largestBefore = nowMs - this.largestFromMs > 2 * largestCostSpanMs ? 0 : this.largest;
@@ -41,13 +44,13 @@
         this.largest = Math.max(this.largest, normalizedCost);
     }
 
-    /** Whether the next sample is due; sampling looks at every backlogged account. */
+    /** Whether the next sample is due. Sampling visits every backlogged account, so it is rate-limited. */
     public isSampleDue(nowMs: number): boolean {
         const last = this.samples[this.samples.length - 1];
         return last === undefined || nowMs - last.atMs >= sampleEveryMs;
     }
 
-    /** Takes the greatest normalized service of the accounts that are backlogged now. */
+    /** Records the maximum normalized service among the accounts that are backlogged now. */
     public observeGreatest(greatest: number, nowMs: number): void {
         const last = this.samples[this.samples.length - 1];
         if (last !== undefined && nowMs - last.atMs > catchUpWindowMs) {
@@ -59,7 +62,10 @@
         }
     }
 
-    /** Least normalized service that a backlogged account is left at; undefined until a whole window was seen. */
+    /**
+     * Minimum normalized service of a backlogged account; accounts below it are lifted. Undefined until samples cover a
+     * full window.
+     */
     public getFloor(nowMs: number): number | undefined {
         const first = this.samples[0];
         const last = this.samples[this.samples.length - 1];
--- a/src/decisions/shares/costEstimate.ts
+++ b/src/decisions/shares/costEstimate.ts
@@ -1,25 +1,25 @@
 import { RunningQuantile } from "../structures/runningQuantile.js";
 
-/** Cost of one prompt token; the unit of model services. */
+/** Cost of one prompt token, which is the cost unit of model services. */
 export const promptTokenCost = 1;
 /**
- * Cost of one generated token in the same unit. A prompt is worked through in parallel while generation takes one pass
- * over the weights per token, and public price lists ask three to five times as much for generated tokens.
+ * Cost of one generated token, in prompt tokens. A prompt is processed in parallel, while generation takes one pass
+ * over the weights per token; public price lists charge three to five times as much for generated tokens.
  */
 export const generatedTokenCost = 4;
 
-/** Generated tokens assumed before anything of the service has ended. */
+/** Generated tokens assumed before any request of the service has completed. */
 const priorGeneratedTokens = 256;
-/** Time assumed for a call of a plain service before any has ended; milliseconds. */
+/** Duration in milliseconds assumed for a call of a plain service before any call has completed. */
 const priorPlainMs = 100;
 /**
- * Quantile that is charged at the start. What is charged too little lets an account start more than its turn, and cannot
- * be taken back; what is charged too much comes back at the end.
+ * Quantile of the observed amounts that is charged at the start. An undercharge lets an account start more than its
+ * share and cannot be reverted; an overcharge is refunded at the end.
  */
 const chargedQuantile = 0.9;
 const meanSmoothing = 0.05;
 
-/** What an estimate is made from. */
+/** What is known of a request before it runs; the input of a cost estimate. */
 export interface CostHint {
     readonly clientAccount: string;
     readonly service: string;
@@ -28,35 +28,36 @@
     readonly maxTokens: number | undefined;
 }
 
-/** An estimated cost in the service's unit, with the class that follows from it. */
+/** An estimated cost in the service's unit, with the work class derived from it. */
 export interface CostEstimate {
-    /** Mean cost of like requests; for expected waits and the class. */
+    /** Mean cost of similar requests, used for expected waits and the work class. */
     readonly cost: number;
-    /** Charged at the start; above the mean. */
+    /** Amount charged at the start; above the mean. */
     readonly charge: number;
     readonly workClass: "short" | "long";
-    /** What the hint alone suggested; the learned figures are kept apart by it. */
+    /** Work class derived from the hint alone. Learned statistics are kept separately for each hint class. */
     readonly hintClass: "short" | "long";
 }
 
-/** Cost of a model request; a token of the prompt is one unit. */
+/** Cost of a model request, in prompt tokens. */
 export function computeModelCost(promptTokens: number, generatedTokens: number): number {
     return promptTokens * promptTokenCost + generatedTokens * generatedTokenCost;
 }
 
 /**
- * Estimates what a request will cost, from what the account's like requests cost.
+ * Estimates what a request will cost from the observed cost of similar requests of the account.
  *
- * Load pattern: costs known only at the end, with rough hints before. Charged only at the end, an account with long
- * requests could start dozens before the first is counted. Charged by the caller's limit (`max_tokens`), an account
- * whose limit is generous by habit would be held back without cause. Running figures per account, service and class
- * learn the habit; the service's own serve a new account, and a constant a new service.
+ * Load pattern: costs are known only at the end, and only rough hints are available before. If costs were charged only
+ * at the end, an account with long requests could start dozens of them before the first is counted. If the caller's
+ * limit (`max_tokens`) were charged, an account that always sets a generous limit would be held back without cause.
+ * Running statistics per account, service and class learn the real cost. The service's statistics serve a new account,
+ * and a constant serves a new service.
  */
 export class CostEstimator {
     private readonly byAccount = new Map<string, LearnedAmount>();
     private readonly byService = new Map<string, LearnedAmount>();
 
-    /** Estimates a request; `longFromCost` divides short from long. */
+    /** Estimates a request. Costs from `longFromCost` on count as long. */
     public estimate(hint: CostHint, longFromCost: number): CostEstimate {
         const toClass = (cost: number): "short" | "long" => (cost >= longFromCost ? "long" : "short");
         if (hint.kind === "plain") {
@@ -75,7 +76,7 @@
         return { cost, charge: toCost(known?.charged ?? prior), workClass: toClass(cost), hintClass };
     }
 
-    /** Learns from a request that ended whole: generated tokens, or milliseconds for a plain service. */
+    /** Records the amount of a completed request: generated tokens, or milliseconds for a plain service. */
     public observe(
         hint: Pick<CostHint, "clientAccount" | "service">,
         hintClass: "short" | "long",
@@ -91,7 +92,7 @@
     }
 }
 
-/** What was learned of one kind of request; made with its first sample. */
+/** Running statistics of one kind of request, created with its first sample. */
 class LearnedAmount {
     private readonly quantile = new RunningQuantile(chargedQuantile);
     private samples = 0;
--- a/src/decisions/shares/engineShares.ts
+++ b/src/decisions/shares/engineShares.ts
@@ -1,15 +1,15 @@
 /**
- * How level accounts are at one engine, by what was granted there.
+ * Compares accounts at one engine by what was granted there.
  *
- * Load pattern: accounts flood while the fleet's sums of their use are seconds old, as they are where there are many routers. By
- * these an account that has just begun to flood counts as within its share, and takes many times what others get. The owner
- * of an engine sees all that is asked and granted there, without delay. Requests spread over engines, so that accounts which
- * are level at each engine are about level in the fleet.
+ * Load pattern: accounts overload the fleet while the totals of their usage are seconds old, as is the case with many
+ * routers. By these totals an account whose burst has just begun still counts as within its share, and takes many times
+ * what others receive. The owner of an engine sees all requests and grants there without delay. Requests are spread
+ * over the engines, so accounts that are even at each engine are about even in the fleet.
  */
 import { WindowedSum } from "../structures/windowedSum.js";
 import { computeFairLevel } from "./accountShares.js";
 
-/** Long enough that each account of a flood asks several times at each engine; milliseconds. */
+/** Window in milliseconds; long enough that each account of an overload sends several requests to each engine. */
 const spanMs = 4_000;
 
 interface AccountSums {
@@ -18,11 +18,11 @@
     lastAtMs: number;
 }
 
-/** What accounts asked for and got at one engine. */
+/** Records what accounts requested and were granted at one engine. */
 export class EngineShares {
     private readonly accounts = new Map<number, AccountSums>();
 
-    /** By the account's hash; tokens as they count against accounts' shares. */
+    /** Records requested tokens. `account` is the account's hash; tokens count as they do in account shares. */
     public recordAsked(account: number, tokens: number, nowMs: number): void {
         this.findSums(account, nowMs).asked.add(tokens, nowMs);
     }
@@ -32,8 +32,8 @@
     }
 
     /**
-     * What the account got over the even level of what was granted here. The last request does not count: a single one may be more
-     * than the level.
+     * Ratio of what the account was granted here to the fair level of all grants. The last request is excluded, since a
+     * single request may exceed the level.
      */
     public computeSurplus(account: number, lastTokens: number, nowMs: number): number {
         const own = (this.accounts.get(account)?.granted.getTotal(nowMs) ?? 0) - lastTokens;
--- a/src/decisions/shares/fairQueue.ts
+++ b/src/decisions/shares/fairQueue.ts
@@ -6,7 +6,7 @@
     readonly id: string;
     readonly clientAccount: string;
     readonly workClass: "short" | "long";
-    /** Estimated cost in the service's unit, not divided by the weight. */
+    /** Estimated cost in the service's unit, not divided by the account's weight. */
     readonly cost: number;
 }
 
@@ -16,7 +16,7 @@
     readonly weight: number;
     normalizedService: number;
     cost: number;
-    /** Cost of long work started beyond that of short work while both waited. */
+    /** Cost of long work started minus cost of short work started, counted while both were waiting. */
     longLead: number;
 }
 
@@ -26,17 +26,17 @@
 }
 
 /**
- * The waiting work of one service at one agent, in the order of start-time fair queueing (Goyal, Vin and Cheng, 1996).
+ * The queued work of one service at one agent, in the order of start-time fair queueing (Goyal, Vin and Cheng, 1996).
  *
- * Load pattern: one account floods while others send a little. With one first-in-first-out queue the flood's length
- * is everybody's wait. Here the backlogged account with the least normalized service goes next, so that a newcomer
- * waits for at most what is already running.
+ * Load pattern: one account sends a burst while others send a few requests. With one first-in-first-out queue, every
+ * request would wait for the whole burst. Here the backlogged account with the least normalized service is next, so a
+ * request of a new account waits at most for the work that is already running.
  *
- * Within an account short and long work each get half of the account's cost while both wait, so neither a stream
- * of questions holds up a rebuild for ever, nor a rebuild the questions. Half needs no tuning, and the bound on either
- * class's delay is then twice its delay alone.
+ * Within an account, short and long work each receive half of the account's cost while both are waiting, so that
+ * neither class starves the other: a stream of short requests does not block a long job, nor a long job the short
+ * requests. Half needs no tuning, and it limits the delay of each class to twice its delay without the other class.
  *
- * Adding, taking and removing by id cost O(log accounts), whatever the number of requests that wait.
+ * Adding, taking and removing by id cost O(log accounts), regardless of the number of queued requests.
  */
 export class FairQueue<T extends QueuedItem> {
     private readonly accounts = new Map<string, AccountQueue<T>>();
@@ -50,7 +50,7 @@
         return this.placed.size;
     }
 
-    /** Estimated cost of all that waits. */
+    /** Estimated cost of all queued work. */
     public get waitingCost(): number {
         return this.cost;
     }
@@ -60,7 +60,10 @@
         return this.weight;
     }
 
-    /** Adds an item behind its account's others of the same class. Ids are unique; a known one is left as it is. */
+    /**
+     * Appends an item to the account's items of the same class. Ids are unique; an item whose id is already queued is
+     * ignored.
+     */
     public add(item: T, normalizedService: number, weight: number): void {
         if (this.placed.has(item.id)) {
             return;
@@ -81,7 +84,7 @@
         return this.placed.get(id)?.node.value;
     }
 
-    /** Takes an item out wherever it stands; undefined when it does not wait here. */
+    /** Removes an item from any position. Returns undefined if it is not queued here. */
     public remove(id: string): T | undefined {
         const placed = this.placed.get(id);
         if (placed === undefined) {
@@ -104,7 +107,7 @@
         return item;
     }
 
-    /** Tells the queue that an account's normalized service has changed; nothing happens when it does not wait. */
+    /** Updates an account's normalized service; has no effect while the account has no queued work. */
     public updateAccount(clientAccount: string, normalizedService: number): void {
         const account = this.accounts.get(clientAccount);
         if (account === undefined || account.normalizedService === normalizedService) {
@@ -119,7 +122,7 @@
         }
     }
 
-    /** The item that goes next, left in place. With `allowLong` false, long work is passed over. */
+    /** Returns the next item without removing it. Long work is skipped unless `allowLong` is set. */
     public getNext(allowLong: boolean): T | undefined {
         const short = this.shortHeap.getLeast();
         const long = allowLong ? this.longHeap.getLeast() : undefined;
@@ -136,7 +139,7 @@
         return this.accounts.get(workClass === "short" ? short.key : long.key)?.[workClass].getFirst();
     }
 
-    /** Takes the item that goes next. */
+    /** Removes and returns the next item. */
     public take(allowLong: boolean): T | undefined {
         const next = this.getNext(allowLong);
         if (next === undefined) {
@@ -149,7 +152,6 @@
         return this.remove(next.id);
     }
 
-    /** Whether any long work waits. */
     public hasLong(): boolean {
         return this.longHeap.size > 0;
     }
@@ -159,17 +161,17 @@
         return account === undefined ? 0 : account.short.size + account.long.size;
     }
 
-    /** Estimated cost of what an account has waiting. */
+    /** Estimated cost of an account's queued work. */
     public getAccountCost(clientAccount: string): number {
         return this.accounts.get(clientAccount)?.cost ?? 0;
     }
 
-    /** The accounts with work waiting. */
+    /** The accounts with queued work. */
     public listAccounts(): readonly string[] {
         return [...this.accounts.keys()];
     }
 
-    /** The ids of all that waits, oldest first. */
+    /** The ids of all queued items, oldest first. */
     public listIds(): readonly string[] {
         return [...this.placed.keys()];
     }
--- a/src/decisions/shares/idleShare.ts
+++ b/src/decisions/shares/idleShare.ts
@@ -1,15 +1,19 @@
 /**
- * How much of a service's capacity lies idle, as requests that arrive find it.
+ * Measures how much of a service's capacity is idle, sampled when requests arrive.
  *
- * Load pattern: accounts beyond their share ask for more than is left over. Whether there is anything to be levelled among them
- * can't be known from one look: an engine that is always asked for is idle now and then, between two prompts. The
- * share of engines with nothing to read, smoothed over about a second, distinguishes a fleet with room from one without.
+ * Load pattern: accounts beyond their share request more than the spare capacity. A single sample cannot show whether
+ * the spare capacity has to be divided among them, because even an engine under constant demand is idle for a moment
+ * between two prompts. The fraction of engines without queued prefill work, smoothed over about a second, distinguishes
+ * a fleet with spare capacity from one without.
  */
 
-/** Time constant: some prompts' reading, so that one pause of the traffic decides nothing; milliseconds. */
+/**
+ * Time constant in milliseconds; covers the prefill of several prompts, so that a single gap in the traffic has little
+ * effect.
+ */
 const smoothingMs = 1_000;
 
-/** Smoothed share of engines that have nothing to read, 0 to 1. */
+/** Smoothed fraction of engines without prefill work, 0 to 1. */
 export class IdleShare {
     private share = 0;
     private lastAtMs: number | undefined;
@@ -18,7 +22,7 @@
         return this.share;
     }
 
-    /** One look at the engines; `idle` of `total` have nothing to read. */
+    /** Records one sample: `idle` of `total` engines have no prefill work. */
     public observe(idle: number, total: number, nowMs: number): void {
         const sample = total === 0 ? 0 : idle / total;
         const elapsedMs = this.lastAtMs === undefined ? smoothingMs : nowMs - this.lastAtMs;
--- a/src/decisions/shares/outputLength.ts
+++ b/src/decisions/shares/outputLength.ts
@@ -1,25 +1,26 @@
 /**
- * How many tokens requests of one route generate, learnt from those that ended.
+ * Estimates how many tokens requests of one route generate, based on completed requests.
  *
- * Load pattern: callers name the most that they would take, three times what they get and more. Counted by that, accounts with
- * short prompts seem to have had their share when they have had half of it, and are refused while others are owed nothing.
+ * Load pattern: callers request a maximum output length that is three times the actual length and more. If the maximum
+ * were charged, accounts with short prompts would appear to have used up their share after half of it, and would be
+ * refused while no other account is entitled to the capacity.
  */
 
-/** Weight of the newest answer once there are many: the mean is that of some dozens. */
+/** Minimum weight of the newest response; the mean then covers the last several dozen responses. */
 const smoothing = 0.02;
 
-/** Running mean of generated tokens. */
+/** Running mean of generated tokens per request. */
 export class OutputLength {
     private samples = 0;
     private mean = 0;
 
-    /** Learns from an answer that was whole. */
+    /** Records the generated tokens of a complete response. */
     public observe(tokens: number): void {
         this.samples += 1;
         this.mean += (tokens - this.mean) * Math.max(smoothing, 1 / this.samples);
     }
 
-    /** Tokens that a request will generate; `most`: what its caller would take. */
+    /** Estimates the tokens that a request will generate, given the maximum that its caller requested. */
     public estimate(most: number): number {
         return this.samples === 0 ? most : Math.min(most, this.mean);
     }
--- a/src/decisions/shares/peerEstimate.ts
+++ b/src/decisions/shares/peerEstimate.ts
@@ -1,44 +1,46 @@
 /**
- * What accounts asked of the other routers and got there by now, though those reported it a while ago.
+ * Estimates what accounts have requested and been served at the other routers up to now, based on reports that are some
+ * time old.
  *
- * Load pattern: several accounts flood, and routers level them by sums that are as old as the last round of messages. All
- * routers let in the account that looks furthest behind, for a whole round; then all find it far ahead and let in
- * another one. Accounts swing between all and nothing, and one that begins to flood has the engines for itself until the
- * first round reports it.
+ * Load pattern: several accounts overload the fleet, and routers balance them by totals that are as old as the last
+ * round of messages. For a whole round, all routers admit the account that appears furthest behind; then all find it
+ * far ahead and admit another one. Accounts alternate between full service and none, and an account whose burst begins
+ * takes all engines until the first round reports it.
  *
- * So each router takes what it sees itself as a sample. An account goes on asking the others as it did; where it asks this
- * router for more than before, it asks the others for more too, in proportion to what it asked of them and of this router before;
- * and what it asks is granted there as often as here. The proportion is the account's own: callers of some accounts reach few
- * routers, and by the traffic of all accounts each burst of theirs would count many times over. The next message replaces the
- * guess, so errors don't add up.
+ * Each router therefore uses its own traffic as a sample. It assumes that an account continues to send requests to the
+ * other routers at the reported rate. Where the account requests more of this router than before, it is assumed to
+ * request more of the others too, in proportion to what it requested of them and of this router before, and with the
+ * same fraction granted as here. The proportion is computed per account: callers of some accounts reach few routers,
+ * and with the proportion of all traffic each of their bursts would be counted many times over. The next message
+ * replaces the estimate, so errors do not accumulate.
  */
 import type { AccountUse } from "./accountUse.js";
 
-/** What another router said of its accounts. */
+/** Account usage that other routers reported. */
 export interface ReportedAccounts {
     readonly accounts: ReadonlyMap<string, AccountUse>;
-    /** Time since it was received; milliseconds. */
+    /** Time since the report was received, in milliseconds. */
     readonly ageMs: number;
-    /** Routers that it is over; 1 when left out. */
+    /** Number of routers that the report covers; 1 if omitted. */
     readonly routerCount?: number;
 }
 
-/** What an account asked of this router and got, in tokens. */
+/** What an account requested of this router and was served by it, in tokens. */
 export interface OwnSample {
-    /** Within the window. */
+    /** Requested tokens within the window. */
     readonly asked: number;
-    /** Within the mean age of what the others said. */
+    /** Requested tokens within the mean age of the other routers' reports. */
     readonly askedSince: number;
     readonly servedSince: number;
 }
 
-/** Spans that an account's sums are over; milliseconds. */
+/** Lengths of the windows that account usage is summed over, in milliseconds. */
 export interface UseSpans {
     readonly windowMs: number;
     readonly recentMs: number;
 }
 
-/** Sums of what was reported, split by whether it still lies within its span or has left it by now. */
+/** Reported usage, split into the part that is still within its window and the part that has expired by now. */
 interface ReportedUse {
     askedWithin: number;
     askedExpired: number;
@@ -48,14 +50,14 @@
     recentExpired: number;
 }
 
-/** Estimates accounts' use at all other routers together. */
+/** Estimates the usage of accounts at all other routers together. */
 export class PeerEstimate {
     private readonly reported = new Map<string, ReportedUse>();
-    /** Of what the others said; milliseconds; 0 without others. */
+    /** Mean age of the other routers' reports in milliseconds; 0 if there are no other routers. */
     public readonly meanAgeMs: number;
     private askedOfPeers = 0;
 
-    /** `askedOfThis`: tokens that all accounts asked of this router within the window. */
+    /** `askedOfThis`: tokens that all accounts requested of this router within the window. */
     public constructor(
         peers: readonly ReportedAccounts[],
         private readonly spans: UseSpans,
@@ -69,12 +71,12 @@
         }
     }
 
-    /** Accounts that the others named. */
+    /** Accounts that occur in the other routers' reports. */
     public get accounts(): Iterable<string> {
         return this.reported.keys();
     }
 
-    /** What the account asked of the others and got by now. */
+    /** Estimates what the account has requested of the other routers and been served there by now. */
     public estimate(account: string, own: OwnSample): AccountUse {
         const reported = this.reported.get(account) ?? createReportedUse();
         if (own.askedSince <= 0) {
@@ -112,16 +114,19 @@
         }
     }
 
-    /** What the account asked of this router in the window that the others reported, at its rate from before they did. */
+    /**
+     * Tokens the account requested of this router within the window of the reports, extrapolated from its rate before
+     * the reports.
+     */
     private estimateAskedHere(own: OwnSample): number {
         const beforeMs = this.spans.windowMs - this.meanAgeMs;
         return beforeMs > 0 ? ((own.asked - own.askedSince) * this.spans.windowMs) / beforeMs : own.asked;
     }
 
-    /** What the others are asked for by the account, over what this router is. */
+    /** Ratio of what the account requests of the other routers to what it requests of this one. */
     private computePeerRatio(reported: ReportedUse, askedHere: number): number {
         const trafficRatio = this.askedOfPeers / Math.max(1, this.askedOfThis);
-        // Of an account that asked nothing here before, the proportion is unknown.
+        // The proportion is unknown for an account that requested nothing from this router before.
         return askedHere > 0
             ? Math.min(trafficRatio, (reported.askedWithin + reported.askedExpired) / askedHere)
             : trafficRatio;
--- a/src/decisions/shares/serviceLedger.ts
+++ b/src/decisions/shares/serviceLedger.ts
@@ -1,4 +1,7 @@
-/** What is known of one account's service: monotone counters in units over weight (structure of a PN-counter). */
+/**
+ * The replicated service counters of one account, in cost units divided by the account's weight. They only increase
+ * (structure of a PN-counter).
+ */
 export interface ServiceClaim {
     readonly charged: number;
     readonly refunded: number;
@@ -6,7 +9,7 @@
     readonly lift: number;
 }
 
-/** An account's own counters of this ledger, for the exchange. */
+/** An account's counters as this ledger has charged them, for the exchange. */
 export interface AccountCounter extends ServiceClaim {
     readonly clientAccount: string;
 }
@@ -19,18 +22,18 @@
     lift: number;
     changedInSequence: number;
     lastActiveAtMs: number;
-    /** Own net charges of this half of the horizon and of the one before. */
+    /** Own net charges of the current half of the horizon and of the previous half. */
     recentOwn: number;
     previousOwn: number;
-    /** Rise of the claims in this half of the horizon. */
+    /** Increase of the claims during the current half of the horizon. */
     recentClaimed: number;
-    /** Decayed sums of the same, for the ratio between others and this agent. */
+    /** Decayed sums of own charges and of claims, for the ratio of the other agents' charges to this agent's. */
     decayedOwn: number;
     decayedClaimed: number;
     othersPerOwn: number;
 }
 
-/** An account with nothing queued, running or newly charged for this long counts as idle; milliseconds. */
+/** An account without queued, running or newly charged work for this long counts as idle; in milliseconds. */
 export const idleAfterMs = 2_000;
 
 const ratioDecay = 0.8;
@@ -39,35 +42,38 @@
 const neverActive = Number.NEGATIVE_INFINITY;
 
 /**
- * The normalized service of each account at one service, over the whole fleet, as one agent knows it.
+ * The normalized service of each account at one service over the whole fleet, as far as one agent has received it.
  *
- * Own service has one writer, this process; service given by others arrives as claims. A claim is a sum over other
- * agents of counters that only rise, thus a lower bound of the truth, and the maximum of lower bounds is one too:
- * claims may be lost, repeated, reordered, or come from routers that know different parts of the fleet.
+ * Own service has a single writer, this process; service by other agents is received as claims. A claim is a sum of
+ * other agents' counters that only increase, so it is a lower bound of the true value, and the maximum of lower bounds
+ * is a lower bound too. Claims may therefore be lost, repeated, reordered, or come from routers that have received
+ * different parts of the fleet's state.
  *
- * Load pattern: an account that rests and returns. Without the lift it would come back with credit for its rest and
- * shut everybody out until that was spent. It is therefore lifted to the least service of those that are backlogged.
- * Two seconds of rest is several exchange periods: shorter gaps between two requests of a steady caller, or a claim
- * that is late, do not look like rest.
+ * Load pattern: an account pauses and returns. Without the lift it would return with credit for the pause and block all
+ * other accounts until the credit is used up. It is therefore lifted to the least service of the backlogged accounts.
+ * The idle time of two seconds is several exchange periods, so that shorter gaps between two requests of a steady
+ * caller, or a late claim, do not count as a pause.
  */
 export class ServiceLedger {
     private readonly entries = new Map<string, LedgerEntry>();
     private horizonAtMs = neverActive;
 
-    /** Service over weight: own and claimed charges less refunds, plus the lift. */
+    /** Service divided by weight: own and claimed charges less refunds, plus the lift. */
     public getNormalizedService(clientAccount: string): number {
         const entry = this.entries.get(clientAccount);
         return entry === undefined ? 0 : getNet(entry) + entry.lift;
     }
 
     /**
-     * Service with what others have probably given in the meantime; orders the queue.
+     * Service including what the other agents have probably charged since their last claims. It determines the order of
+     * the queue.
      *
-     * Agents that share a view all find the same account furthest behind, and until news comes each starts its requests
-     * as if alone: with weights of 16 to 1 the small account's overshoot is many times its fair share. Each agent
-     * therefore assumes of the others what it does itself: own charges younger than the news count as often as the others
-     * charge for this account when this agent charges once. Errors last for one horizon and do not add up, as
-     * the counters themselves are exact.
+     * Agents with the same state all select the same account as furthest behind, and until the next claims arrive each
+     * agent starts that account's requests independently of the others: with weights of 16 to 1 the small account
+     * overshoots its fair share many times. Each agent therefore assumes that the others act as it does: own charges
+     * that are newer than the last claims are multiplied by the number of charges by others for each charge of this
+     * agent for this account. Errors last for one horizon and do not accumulate, because the counters themselves are
+     * exact.
      */
     public getExpectedService(clientAccount: string): number {
         const entry = this.entries.get(clientAccount);
@@ -78,7 +84,10 @@
         return getNet(entry) + entry.lift + recent * entry.othersPerOwn;
     }
 
-    /** Moves the horizon of {@link getExpectedService} on when half of it has passed; true when services changed. */
+    /**
+     * Advances the horizon of {@link getExpectedService} when half of it has passed. Returns true if expected services
+     * changed.
+     */
     public advanceHorizon(nowMs: number, horizonMs: number): boolean {
         if (nowMs - this.horizonAtMs < horizonMs / 2) {
             return false;
@@ -103,7 +112,7 @@
         return true;
     }
 
-    /** Adds to an account's own charges; `sequence` is the number of the report that will carry the change. */
+    /** Adds to an account's own charges. `sequence` is the number of the report that will contain the change. */
     public chargeAccount(clientAccount: string, amount: number, sequence: number): void {
         const entry = this.openEntry(clientAccount);
         entry.charged += amount;
@@ -111,7 +120,7 @@
         entry.changedInSequence = sequence;
     }
 
-    /** Gives back what an estimate took too much. */
+    /** Refunds the part of a charge that was estimated too high. */
     public recordRefund(clientAccount: string, amount: number, sequence: number): void {
         const entry = this.openEntry(clientAccount);
         entry.refunded += amount;
@@ -119,13 +128,13 @@
         entry.changedInSequence = sequence;
     }
 
-    /** Takes what others have charged; true when the account's normalized service changed. */
+    /** Merges the charges by other agents. Returns true if the account's normalized service changed. */
     public mergeClaim(clientAccount: string, claim: ServiceClaim, nowMs: number): boolean {
         const entry = this.openEntry(clientAccount);
         const before = getNet(entry) + entry.lift;
         const claimedBefore = entry.claimedCharged - entry.claimedRefunded;
         const isFirst = entry.claimedCharged === 0;
-        // The first claim after a restart tells of all times past; only a rise after it shows present activity.
+        // The first claim after a restart contains the whole past; only an increase after it shows present activity.
         if (claim.charged > entry.claimedCharged && entry.claimedCharged > 0) {
             entry.lastActiveAtMs = nowMs;
         }
@@ -136,7 +145,7 @@
         return getNet(entry) + entry.lift !== before;
     }
 
-    /** Raises an account to a floor of normalized service; true when it lay below. */
+    /** Raises an account to a floor of normalized service. Returns true if the account was below the floor. */
     public applyLift(clientAccount: string, floor: number, sequence: number): boolean {
         const entry = this.openEntry(clientAccount);
         const lift = floor - getNet(entry);
@@ -148,20 +157,21 @@
         return true;
     }
 
-    /** Notes that the account has work here. */
+    /** Records that the account has queued or running work here. */
     public recordActivity(clientAccount: string, nowMs: number): void {
         this.openEntry(clientAccount).lastActiveAtMs = nowMs;
     }
 
-    /** Whether the account has rested; the caller knows that nothing of it is queued or running here. */
+    /** Whether the account is idle. The caller has to ensure that none of its work is queued or running here. */
     public isIdle(clientAccount: string, nowMs: number): boolean {
         const entry = this.entries.get(clientAccount);
         return entry === undefined || nowMs - entry.lastActiveAtMs > idleAfterMs;
     }
 
     /**
-     * The floor for an account that returns while nothing waits here: the least of the accounts active lately or, in a
-     * fleet at rest, the greatest of all, as start-time fair queueing sets its virtual time at the end of a busy period.
+     * The floor for an account that returns while nothing is queued here: the minimum over recently active accounts or,
+     * if the whole fleet is idle, the maximum over all accounts, as start-time fair queueing sets its virtual time at
+     * the end of a busy period.
      */
     public getReturnFloor(nowMs: number): number {
         let least: number | undefined;
@@ -177,8 +187,9 @@
     }
 
     /**
-     * Least and greatest normalized service of the accounts named; undefined of none. Without what others have probably
-     * given: lifted to a guess, an account would keep for good what the guess had too much.
+     * Minimum and maximum normalized service of the given accounts; undefined if there are none. The estimated charges
+     * by other agents are excluded: an account that was lifted by an estimate would keep the excess of the estimate
+     * permanently.
      */
     public getRange(
         clientAccounts: readonly string[],
@@ -193,7 +204,7 @@
         return clientAccounts.length === 0 ? undefined : { least, greatest };
     }
 
-    /** Own counters that changed in a report after `sequence`; all when it is undefined. */
+    /** Own counters that changed in a report after `sequence`; all counters if it is undefined. */
     public listChangedSince(sequence: number | undefined): readonly AccountCounter[] {
         const changed: AccountCounter[] = [];
         for (const [clientAccount, entry] of this.entries) {
@@ -204,7 +215,6 @@
         return changed;
     }
 
-    /** An account's own counter. */
     public getCounter(clientAccount: string): AccountCounter | undefined {
         const entry = this.entries.get(clientAccount);
         return entry === undefined ? undefined : createCounter(clientAccount, entry);
--- a/test/decisions/shares/accountShares.test.ts
+++ b/test/decisions/shares/accountShares.test.ts
@@ -6,7 +6,7 @@
 const stepMs = 50;
 const noPeers: readonly never[] = [];
 
-/** Lets accounts ask, and get all they ask, in equal steps up to a time; tokens a second by account. */
+/** Records requests that are fully served, in equal steps up to `toMs`. `rates` holds tokens per second by account. */
 function createShares(rates: Readonly<Record<string, number>>, fromMs: number, toMs: number): AccountShares {
     const shares = new AccountShares(windowMs);
     for (let nowMs = fromMs; nowMs < toMs; nowMs += stepMs) {
@@ -21,8 +21,8 @@
 describe("an account's use of its fair share", () => {
     const flood = { flooding: 2_400_000, modest: 400_000, small: 100_000 };
 
-    // One account asks for more than everything else together. After a whole window it has had more than its share, and those
-    // that ask for less have not.
+    // One account requests more than all others together. After a full window its usage is above its share, and that of
+    // the accounts that request less is not.
     it("is above one for a flooding account alone, once a window is full", () => {
         const shares = createShares(flood, 0, windowMs);
         const uses = Object.keys(flood).map(
@@ -31,17 +31,18 @@
         expect(uses.map(use => use > 1)).toEqual([true, false, false]);
     });
 
-    // The same flood begins with the traffic. For as long as less has been asked than a whole window's capacity, nobody counts
-    // as beyond a share, and the flooding account fills all engines; others are then refused for seconds. What was seen:
-    // 4.4 M tokens for one account within six seconds, beside 1.0 M of 2.4 M for another.
+    // The same overload begins together with the traffic. Until a full window's capacity has been requested, no account
+    // would count as beyond its share, and the overloading account would fill all engines; others would then be refused
+    // for seconds. Observed before: 4.4 M tokens served to one account within six seconds, and 1.0 M of 2.4 M to
+    // another.
     it("is above one for a flooding account within the first second of traffic", () => {
         const atMs = 900;
         const shares = createShares(flood, 0, atMs);
         expect(shares.computeUse("flooding", noPeers, tokensPerSecond, atMs).share).toBeGreaterThan(1);
     });
 
-    // An account was quiet, and begins to flood. Over the window it has had little; it takes all engines for a second, in which
-    // others beyond their share get nothing.
+    // An account that was inactive starts a burst. Over the window it has been served little, so it would take all
+    // engines for a second, in which others beyond their share receive nothing.
     it("is high for an account whose flood began less than a second ago, and low for one with a usual prompt", () => {
         const atMs = 5_750;
         const shares = createShares({ flooding: 2_400_000 }, 5_000, atMs);
@@ -56,8 +57,9 @@
         expect(uses[1]).toBeLessThan(0.1);
     });
 
-    // A router is restarted and hears from a peer what accounts got in the last four seconds. Compared with the moment that it has
-    // been up itself, everybody would seem far beyond his share, and nearly all requests would be refused.
+    // A router restarts and receives from a peer what accounts were served in the last four seconds. Compared with the
+    // router's own short uptime, every account would appear to be far beyond its share, and nearly all requests would
+    // be refused.
     it("counts the time that the fleet's sums cover, not that of a router just started", () => {
         const shares = new AccountShares(windowMs);
         shares.recordAsked("modest", 1_000, 0);
@@ -68,8 +70,9 @@
 });
 
 describe("an account's use of the surplus", () => {
-    // One account flooded until now, another begins. Over four seconds the first has had far more, and would get nothing until
-    // that is made up for, while the second fills all engines: each second the first is refused beside it.
+    // One account's burst ends as another's begins. Over four seconds the first has been served far more, so without
+    // the surplus ratio it would be refused every second until the other has caught up, while the second fills all
+    // engines.
     it("is equal again soon after both get equal amounts", () => {
         const shares = createShares({ early: 2_000_000 }, 0, 4_000);
         for (let nowMs = 4_000; nowMs < 6_000; nowMs += stepMs) {
--- a/test/decisions/shares/engineShares.test.ts
+++ b/test/decisions/shares/engineShares.test.ts
@@ -4,7 +4,7 @@
 const [flood, steady, small] = [1, 2, 3];
 const tokens = 5_000;
 
-/** Each account asks so often; all that is asked is granted. */
+/** Records the given number of requests per account, all of them granted. */
 function createShares(counts: Readonly<Record<number, number>>): EngineShares {
     const shares = new EngineShares();
     for (const [account, count] of Object.entries(counts)) {
@@ -29,7 +29,7 @@
         `);
     });
 
-    // An account that was given one long prompt would otherwise be held back for it as if it had flooded.
+    // Otherwise an account with one long prompt would be held back as if it had sent a burst.
     it("are not held back for a single request, nor for what they got long ago", () => {
         const shares = createShares({ [flood]: 1, [steady]: 10 });
         const once = shares.computeSurplus(flood, tokens, 1_000);
--- a/test/decisions/shares/estimateSpread.test.ts
+++ b/test/decisions/shares/estimateSpread.test.ts
@@ -9,24 +9,26 @@
 const routerCount = 68;
 const requestTokens = 9_000;
 const tokensPerSecond = 2_400_000;
-/** Requests a second of the account that floods all routers, and the part of them that is granted. */
+/** Requests per second of the account that sends to all routers, and the fraction of them that is granted. */
 const floodRate = 950;
 const floodGrantedPart = 0.12;
-/** The same of an account whose callers reach one router. */
+/** The same for an account whose callers reach only one router. */
 const narrowRate = 160;
 const narrowGrantedPart = 0.25;
 const routersPerDataCentre = 14;
-/** Reports of a router to all others at this size; routers without fresh sums go by them. */
+/** Period of a router's reports to all others at this fleet size; used by routers without fresh totals. */
 const meshPeriodMs = 1_300;
 const warmUpMs = 4_000;
 const runMs = 8_000;
 const checkPeriodMs = 250;
 const msPerSecond = 1_000;
-/** Accounts may differ by this factor in what they get, so routers must not differ by more in what they believe of one. */
+/**
+ * The service of accounts may differ by this factor, so the routers' estimates for one account must not differ by more.
+ */
 const mostFactor = 2;
 const seeds = [1, 2, 3];
 
-/** What routers compute as the flood's surplus, over what it is by exact sums. */
+/** Ratios of the routers' surplus estimates for the overloading account to its exact surplus. */
 function listFactors(seed: number): readonly number[] {
     const random = new SeededRandom(seed);
     const shares = Array.from({ length: routerCount }, () => new AccountShares(windowMs));
@@ -75,7 +77,7 @@
     return factors;
 }
 
-/** Routers begin their periods one after the other. */
+/** Spreads the start of the routers' periods evenly. */
 function isDue(index: number, periodMs: number, nowMs: number): boolean {
     return (nowMs + Math.floor((index * periodMs) / routerCount)) % periodMs === 0;
 }
@@ -100,13 +102,13 @@
     });
 }
 
-/** By books of its own, as a router keeps its sums for some milliseconds. */
+/** Uses a separate instance, because a router caches its totals for some milliseconds. */
 function computeExactSurplus(exact: readonly ReportedRouter[], nowMs: number): number {
     return new AccountShares(windowMs).computeUse("flood", exact, tokensPerSecond, nowMs).surplus;
 }
 
 describe("68 routers that an account floods", () => {
-    // Where one believes the account to be far behind, it is let in; at many routers there is always such a one.
+    // A router whose estimate for the account is too low admits it; with many routers there is always such a router.
     it("differ by no more than accounts may in what they believe that it has had", () => {
         const factors = seeds.flatMap(listFactors);
         expect(Math.min(...factors)).toBeGreaterThanOrEqual(1 / mostFactor);
--- a/test/decisions/shares/fairFloods.test.ts
+++ b/test/decisions/shares/fairFloods.test.ts
@@ -3,12 +3,15 @@
 import { floodedFleet, floodScenarios, threeFloods } from "../../../bench/gateway/floods.js";
 import { runPromptFleet } from "../../../bench/gateway/promptFleet.js";
 
-/** Of what an account asked, or of what the best served one got, whichever is less. */
+/**
+ * Minimum ratio of served tokens to what the account requested or what the best-served account received, whichever is
+ * less.
+ */
 const leastPart = 0.5;
 const seeds = [1, 2, 3, 4, 5];
 const twentySeeds = Array.from({ length: 20 }, (...[, index]) => index + 1);
 
-/** The least part over all seeds. */
+/** The minimum ratio over all seeds. */
 function computeLeastPart(routerCount: number, peerPeriodMs: number): number {
     const parts = seeds.map(seed =>
         findLeastPart(runPromptFleet({ ...floodedFleet, routerCount, peerPeriodMs, seed }, threeFloods).seconds),
@@ -17,11 +20,12 @@
 }
 
 describe("accounts that flood one beside the other", () => {
-    // Each second some of an account's requests are refused, and over six seconds it gets less than half of what its neighbour
-    // gets. Three accounts flood, one after the other begins, and a quarter of the engines is lost on the way. Routers level
-    // them by what each told the others last. All let in the account that was behind then, for a whole round, and none of the
-    // others; in the next round another one. Shown by the same play with sums that are never late: none got less than half.
-    // Besides, an account that was quiet takes the share of four seconds within its flood's first second.
+    // Three accounts overload the fleet, each starting after the previous one, and a quarter of the engines is lost in
+    // between. Routers balance the accounts by the last reports of the others. Without estimates, all routers admit
+    // only the account that was behind in the last round, and another one in the next round. Some requests of an
+    // account are then refused each second, and over six seconds it is served less than half of what another account
+    // receives. With totals that are never late, no account is served less than half in the same simulation. Besides,
+    // an account that was inactive would take the share of four seconds within the first second of its burst.
     it.each([
         ["six routers each 400 ms", 6, 400],
         ["six routers each second", 6, 1_000],
@@ -32,8 +36,9 @@
         expect(computeLeastPart(routerCount, peerPeriodMs)).toBeGreaterThanOrEqual(leastPart);
     });
 
-    // A quarter of the engines is lost, and what is left gives less than was promised. The level of the shares is then above what
-    // accounts get, so that none of them counts as beyond its share and what is given goes to who asks first.
+    // A quarter of the engines is lost, and the rest serves less than the nominal throughput. The fair level is then
+    // above what accounts are served, so no account counts as beyond its share and capacity goes to the first that
+    // requests it.
     it("all get their part while the fleet gives less than was promised", () => {
         const { fleet, loads } = floodScenarios.find(({ name }) => name === "three-floods-large-promise")!;
         const parts = twentySeeds.map(seed => findLeastPart(runPromptFleet({ ...fleet, seed }, loads).seconds));
--- a/test/decisions/shares/fairQueue.test.ts
+++ b/test/decisions/shares/fairQueue.test.ts
@@ -17,7 +17,7 @@
     fc.record({ type: fc.constant("take" as const), allowLong: fc.boolean() }),
 );
 
-/** Checks each answer of the queue against a plain list that is searched from end to end. */
+/** Compares each result of the queue with a linear search of a plain list. */
 function checkAgainstList(steps: readonly Step[]): void {
     const queue = new FairQueue<QueuedItem>();
     const list: QueuedItem[] = [];
@@ -67,8 +67,8 @@
         });
     });
 
-    // The caller sees: neither its account's questions nor its rebuild wait for ever. Both classes of one account are
-    // backlogged; each gets half of the account's cost.
+    // Neither short nor long work of an account may starve. Both classes of one account are backlogged; each receives
+    // half of the account's cost.
     it("shares an account's turns between short and long by cost", () => {
         const queue = new FairQueue<QueuedItem>();
         for (let index = 0; index < 60; index += 1) {
--- a/test/decisions/shares/idleShare.test.ts
+++ b/test/decisions/shares/idleShare.test.ts
@@ -2,7 +2,8 @@
 import { IdleShare } from "../../../src/decisions/shares/idleShare.js";
 
 describe("the share of idle engines", () => {
-    // An engine that is always asked for is idle now and then, between two prompts; one look must not make it seem free.
+    // An engine under constant demand is idle for a moment between two prompts; a single sample must not make it appear
+    // free.
     it("forgets within seconds and is not decided by one look", () => {
         const share = new IdleShare();
         const seen: number[] = [];
--- a/test/decisions/shares/narrowAccounts.test.ts
+++ b/test/decisions/shares/narrowAccounts.test.ts
@@ -6,22 +6,24 @@
 const routerCount = 68;
 const requestTokens = 9_000;
 const tokensPerSecond = 2_400_000;
-/** Requests a second of each of the two accounts, and of the others together. */
+/** Requests per second of each of the two compared accounts, and of all others together. */
 const rate = 8;
 const otherRate = 600;
 const otherAccounts = 20;
 const grantedPart = 0.6;
 const roundMs = 1_100;
 const shortRoundMs = 50;
-/** Twice the period of aggregators: a report is summed up, and the sums are handed on. */
+/** Two aggregation periods: one until a report is included in the totals, one until the totals are forwarded. */
 const aggregatedMs = 200;
 const warmUpMs = 5_000;
 const runMs = 12_000;
 const msPerSecond = 1_000;
 const seeds = [1, 2, 3];
-/** An account that counts as having had so many times its due is held back to half of what another one gets. */
+/**
+ * An account whose estimated usage is this many times the real one is held back to half of another account's service.
+ */
 const mostRatio = 2;
-/** One that counts as having had so little of it gets twice what another one gets. */
+/** An account whose estimated usage is this fraction of the real one receives twice another account's service. */
 const leastRatio = 0.5;
 const movePeriodMs = 3_000;
 
@@ -30,7 +32,10 @@
     readonly routerIndex: number;
 }
 
-/** Mean surplus that routers compute for two accounts which ask for and get the same, one at few of them. */
+/**
+ * Mean surplus that routers compute for two accounts with equal requests and service; one of them uses only a few
+ * routers.
+ */
 function computeMeanSurplus(
     seed: number,
     narrowReach: number,
@@ -89,15 +94,16 @@
 }
 
 describe("two accounts that ask 68 routers for the same and get the same, one of them at few routers only", () => {
-    // What an account asked of the others is guessed from this router. By the traffic of all accounts, each burst of an
-    // account that reaches few routers would count for all of them.
+    // Requests to the other routers are estimated from this router's traffic. With the proportion of all traffic, each
+    // burst of an account that reaches few routers would be counted for all of them.
     it.each([4, 1])("count as having had about as much while sums are a round old, at %i of the routers", reach => {
         const ratio = computeRatio(reach, roundMs);
         expect(ratio).toBeLessThanOrEqual(mostRatio);
         expect(ratio).toBeGreaterThanOrEqual(leastRatio);
     });
 
-    // A balancer sends the callers to another router, which has seen nothing of the account and goes by the traffic of all.
+    // A balancer moves the callers to another router, which has not seen the account and uses the proportion of all
+    // traffic.
     it.fails("count as having had about as much while the callers of one move to another router", () => {
         expect(computeRatio(1, roundMs, movePeriodMs)).toBeLessThanOrEqual(mostRatio);
     });
--- a/test/decisions/shares/outputLength.test.ts
+++ b/test/decisions/shares/outputLength.test.ts
@@ -2,8 +2,8 @@
 import { OutputLength } from "../../../src/decisions/shares/outputLength.js";
 
 describe("the output that a route's requests have", () => {
-    // Callers name the most that they would take, three times what they get. Counted by that, accounts with short prompts seem
-    // to have had their share when they have had half of it.
+    // Callers request a maximum that is three times the actual output. If the maximum were charged, accounts with short
+    // prompts would appear to have used up their share after half of it.
     it("is the callers' most until an answer was whole, and then the mean of answers", () => {
         const length = new OutputLength();
         const before = length.estimate(952);
--- a/test/decisions/shares/peerEstimate.test.ts
+++ b/test/decisions/shares/peerEstimate.test.ts
@@ -4,7 +4,10 @@
 const spans = { windowMs: 4_000, recentMs: 1_500 };
 const ageMs = 500;
 
-/** What three others said half a second ago of an account with 100 tokens a second at each, half of them granted. */
+/**
+ * Half-second-old reports of three routers: the account requests 100 tokens per second at each, and half of them are
+ * granted.
+ */
 const peers = Array.from({ length: 3 }, () => ({
     ageMs,
     accounts: new Map([["steady", { asked: 400, served: 200, recentlyServed: 75 }]]),
@@ -25,13 +28,14 @@
         expect(estimate("steady", { asked: 400, askedSince: 50, servedSince: 0 })).toEqual([1_200, 525, 150]);
     });
 
-    // An account begins to flood. The others' newest words don't name it yet; taken as they are, it seems to have got a fourth
-    // of what it has, and every router goes on letting it in until the round is over.
+    // An account starts a burst that the other routers' newest reports do not contain yet. Without an estimate it would
+    // appear to have been served a fourth of the real amount, and every router would keep admitting it until the end of
+    // the round.
     it("is as much as here for an account that has just begun", () => {
         expect(estimate("new", { asked: 300, askedSince: 300, servedSince: 200 })).toEqual([900, 600, 600]);
     });
 
-    // An account whose callers all reach this router would otherwise be held to a part of what it may have.
+    // Otherwise an account whose callers all reach this router would be limited to a part of its share.
     it("is nothing for an account that only asks this router, steadily", () => {
         expect(estimate("only-here", { asked: 400, askedSince: 50, servedSince: 50 })).toEqual([0, 0, 0]);
     });
--- a/test/decisions/shares/serviceLedger.test.ts
+++ b/test/decisions/shares/serviceLedger.test.ts
@@ -73,8 +73,8 @@
         `);
     });
 
-    // The caller sees: no stall after its account returns. An agent that has just started hears of all times past in one
-    // claim; that is no sign of present activity, while a rise after it is.
+    // Guards against a stall after an account returns. An agent that has just started receives the whole past in one
+    // claim, which is no sign of present activity; an increase after it is.
     it("takes an account for idle until claims rise", () => {
         const ledger = new ServiceLedger();
         const idle: boolean[] = [];
