--- a/src/decisions/shares/accountShares.ts
+++ b/src/decisions/shares/accountShares.ts
@@ -49,64 +49,64 @@
 export const noUse: ShareUse = { share: 0, surplus: 0, sumsAgeMs: 0 };
 
 /** Accounts without activity for this many windows are removed. */
-const forgetAfterWindows = 4;
+const removeAfterWindows = 4;
 /**
  * Window for the surplus ratio, in milliseconds. It is long enough that a single long prompt does not dominate, and
  * short enough that an account is not held back for what it was served seconds ago.
  */
-const recentSpanMs = 1_500;
+const recentWindowMs = 1_500;
 /**
  * Weight of recently served tokens in the share ratio. By the window alone, an account that was inactive could take a
  * whole window's share at once when its burst begins, and for that second other accounts beyond their share would be
- * served nothing. With this weight an account exceeds its share at about 1.25 times its share of the recent window, as
- * the surplus ratio is compared with the fair level as well.
+ * served nothing. With this weight, the ratio of 0.75 from which requests count as over their share is reached at 1.25
+ * times the account's share of the recent window, the window that the surplus ratio uses as well.
  */
 const burstWeight = 0.6;
 /** Minimum covered time in milliseconds. Directly after a start, a single prompt would exceed every account's share. */
-const leastCoveredMs = 500;
+const minCoveredMs = 500;
 /**
  * Lifetime of computed fleet totals in milliseconds. Merging all routers' accounts for each request would cost more
  * than the fresher values are worth.
  */
-const sumTtlMs = 20;
+const totalsTtlMs = 20;
 /**
  * Maximum age of the totals, in milliseconds, for estimating how an account's requests are spread over routers. With
  * older totals, an account whose burst has just begun appears to use this router only.
  */
-const mostPartAgeMs = 300;
+const maxFractionAgeMs = 300;
 const msPerSecond = 1_000;
 
 /**
  * The fair level: the maximum amount per account at which the capacity is fully used. Infinite while the capacity
  * covers all requested amounts.
  */
-export function computeFairLevel(asked: readonly number[], capacity: number): number {
-    const sorted = [...asked].sort((a, b) => a - b);
-    let left = capacity;
+export function computeFairLevel(requested: readonly number[], capacity: number): number {
+    const sorted = [...requested].sort((a, b) => a - b);
+    let remaining = capacity;
     for (const [index, amount] of sorted.entries()) {
-        const even = left / (sorted.length - index);
+        const even = remaining / (sorted.length - index);
         if (amount > even) {
             return even;
         }
-        left -= amount;
+        remaining -= amount;
     }
     return Number.POSITIVE_INFINITY;
 }
 
 /** Account usage summed over all routers. */
-interface FleetSums {
+interface FleetTotals {
     readonly atMs: number;
     readonly coveredMs: number;
-    readonly uses: ReadonlyMap<string, AccountUse>;
+    readonly usages: ReadonlyMap<string, AccountUse>;
     /** Requested tokens per account at this router only. */
-    readonly ownAsked: ReadonlyMap<string, number>;
+    readonly ownRequested: ReadonlyMap<string, number>;
     readonly recentlyServed: number;
     readonly ageMs: number;
 }
 
 /** Fair levels per account, derived from the totals over all routers, in tokens. */
 interface FairLevels {
-    readonly sums: FleetSums;
+    readonly totals: FleetTotals;
     readonly tokensPerSecond: number;
     /** Fair level of the nominal throughput over the covered window. */
     readonly window: number;
@@ -116,7 +116,7 @@
     readonly surplus: number;
 }
 
-interface OwnUse {
+interface OwnUsage {
     readonly asked: WindowedSum;
     readonly served: WindowedSum;
     readonly recent: WindowedSum;
@@ -125,9 +125,9 @@
 
 /** Records what this router's accounts requested and were served, and compares it with the fleet's fair level. */
 export class AccountShares {
-    private readonly own = new Map<string, OwnUse>();
+    private readonly own = new Map<string, OwnUsage>();
     private firstAtMs: number | undefined;
-    private sums: FleetSums | undefined;
+    private totals: FleetTotals | undefined;
     private levels: FairLevels | undefined;
 
     public constructor(private readonly windowMs: number) {}
@@ -139,22 +139,22 @@
 
     /** Records tokens as served. Negative `tokens` revert what was recorded for a request that failed later. */
     public recordServed(account: string, tokens: number, nowMs: number): void {
-        const use = this.openAccount(account, nowMs);
-        use.served.add(tokens, nowMs);
-        use.recent.add(tokens, nowMs);
+        const usage = this.openAccount(account, nowMs);
+        usage.served.add(tokens, nowMs);
+        usage.recent.add(tokens, nowMs);
     }
 
     /** Lists what this router's accounts requested and were served within the window, and removes inactive accounts. */
     public listOwn(nowMs: number): RouterAccounts {
         const accounts = new Map<string, AccountUse>();
-        for (const [account, use] of this.own) {
-            if (nowMs - use.lastAtMs > forgetAfterWindows * this.windowMs) {
+        for (const [account, usage] of this.own) {
+            if (nowMs - usage.lastAtMs > removeAfterWindows * this.windowMs) {
                 this.own.delete(account);
             } else {
                 accounts.set(account, {
-                    asked: use.asked.getTotal(nowMs),
-                    served: use.served.getTotal(nowMs),
-                    recentlyServed: use.recent.getTotal(nowMs),
+                    asked: usage.asked.getTotal(nowMs),
+                    served: usage.served.getTotal(nowMs),
+                    recentlyServed: usage.recent.getTotal(nowMs),
                 });
             }
         }
@@ -172,16 +172,16 @@
         tokensPerSecond: number,
         nowMs: number,
     ): ShareUse {
-        const sums = this.findSums(peers, nowMs);
-        const use = sums.uses.get(account);
-        if (use === undefined) {
+        const totals = this.findTotals(peers, nowMs);
+        const usage = totals.usages.get(account);
+        if (usage === undefined) {
             return noUse;
         }
-        const { window, recent, surplus } = this.findLevels(sums, tokensPerSecond);
+        const { window, recent, surplus } = this.findLevels(totals, tokensPerSecond);
         return {
-            share: Math.max(use.served / window, (use.recentlyServed / recent) * burstWeight),
-            surplus: use.recentlyServed / surplus,
-            sumsAgeMs: sums.ageMs,
+            share: Math.max(usage.served / window, (usage.recentlyServed / recent) * burstWeight),
+            surplus: usage.recentlyServed / surplus,
+            sumsAgeMs: totals.ageMs,
         };
     }
 
@@ -190,93 +190,100 @@
      * other routers' reports are missing or too old.
      */
     public computeOwnPart(account: string): number {
-        const { sums } = this;
-        const asked = sums?.uses.get(account)?.asked ?? 0;
-        return sums === undefined || sums.ageMs > mostPartAgeMs || asked <= 0
+        const { totals: totals } = this;
+        const requested = totals?.usages.get(account)?.asked ?? 0;
+        return totals === undefined || totals.ageMs > maxFractionAgeMs || requested <= 0
             ? 0
-            : Math.min(1, (sums.ownAsked.get(account) ?? 0) / asked);
+            : Math.min(1, (totals.ownRequested.get(account) ?? 0) / requested);
     }
 
     /** The levels are the same for all accounts until the totals are recomputed. */
-    private findLevels(sums: FleetSums, tokensPerSecond: number): FairLevels {
-        if (this.levels?.sums !== sums || this.levels.tokensPerSecond !== tokensPerSecond) {
-            this.levels = computeLevels(sums, tokensPerSecond);
+    private findLevels(totals: FleetTotals, tokensPerSecond: number): FairLevels {
+        if (this.levels?.totals !== totals || this.levels.tokensPerSecond !== tokensPerSecond) {
+            this.levels = computeLevels(totals, tokensPerSecond);
         }
         return this.levels;
     }
 
-    private findSums(peers: readonly ReportedRouter[], nowMs: number): FleetSums {
-        if (this.sums === undefined || nowMs - this.sums.atMs >= sumTtlMs) {
-            this.sums = this.computeSums(peers, nowMs);
+    private findTotals(peers: readonly ReportedRouter[], nowMs: number): FleetTotals {
+        if (this.totals === undefined || nowMs - this.totals.atMs >= totalsTtlMs) {
+            this.totals = this.computeTotals(peers, nowMs);
         }
-        return this.sums;
+        return this.totals;
     }
 
-    private computeSums(peers: readonly ReportedRouter[], nowMs: number): FleetSums {
+    private computeTotals(peers: readonly ReportedRouter[], nowMs: number): FleetTotals {
         const own = this.listOwn(nowMs);
-        const askedOfThis = [...own.accounts.values()].reduce((sum, use) => sum + use.asked, 0);
-        const estimate = new PeerEstimate(peers, { windowMs: this.windowMs, recentMs: recentSpanMs }, askedOfThis);
-        const uses = new Map<string, AccountUse>();
+        const requestedHere = [...own.accounts.values()].reduce((sum, use) => sum + use.asked, 0);
+        const estimate = new PeerEstimate(peers, { windowMs: this.windowMs, recentMs: recentWindowMs }, requestedHere);
+        const usages = new Map<string, AccountUse>();
         let recentlyServed = 0;
         for (const name of new Set([...own.accounts.keys(), ...estimate.accounts])) {
-            const use = addUses(
+            const usage = addUsage(
                 own.accounts.get(name),
                 estimate.estimate(name, this.takeSample(name, estimate.meanAgeMs, nowMs)),
             );
-            recentlyServed += use.recentlyServed;
-            uses.set(name, use);
+            recentlyServed += usage.recentlyServed;
+            usages.set(name, usage);
         }
         // A router that has just started has little data of its own, but the other routers' counters cover their whole
         // window.
-        const coveredMs = Math.max(leastCoveredMs, own.coveredMs, ...peers.map(peer => peer.coveredMs));
+        const coveredMs = Math.max(minCoveredMs, own.coveredMs, ...peers.map(peer => peer.coveredMs));
         const ownAsked = new Map([...own.accounts].map(([name, use]) => [name, use.asked]));
-        return { atMs: nowMs, coveredMs, uses, ownAsked, recentlyServed, ageMs: estimate.meanAgeMs };
+        return {
+            atMs: nowMs,
+            coveredMs,
+            usages: usages,
+            ownRequested: ownAsked,
+            recentlyServed,
+            ageMs: estimate.meanAgeMs,
+        };
     }
 
     private takeSample(account: string, sinceMs: number, nowMs: number): OwnSample {
-        const use = this.own.get(account);
+        const usage = this.own.get(account);
         return {
-            asked: use?.asked.getTotal(nowMs) ?? 0,
-            askedSince: use?.asked.getRecent(sinceMs, nowMs) ?? 0,
-            servedSince: use?.served.getRecent(sinceMs, nowMs) ?? 0,
+            asked: usage?.asked.getTotal(nowMs) ?? 0,
+            askedSince: usage?.asked.getRecent(sinceMs, nowMs) ?? 0,
+            servedSince: usage?.served.getRecent(sinceMs, nowMs) ?? 0,
         };
     }
 
-    private openAccount(account: string, nowMs: number): OwnUse {
-        let use = this.own.get(account);
-        if (use === undefined) {
-            use = {
+    private openAccount(account: string, nowMs: number): OwnUsage {
+        let usage = this.own.get(account);
+        if (usage === undefined) {
+            usage = {
                 asked: new WindowedSum(this.windowMs),
                 served: new WindowedSum(this.windowMs),
-                recent: new WindowedSum(recentSpanMs),
+                recent: new WindowedSum(recentWindowMs),
                 lastAtMs: nowMs,
             };
-            this.own.set(account, use);
+            this.own.set(account, usage);
         }
-        use.lastAtMs = nowMs;
-        return use;
+        usage.lastAtMs = nowMs;
+        return usage;
     }
 }
 
-function computeLevels(sums: FleetSums, tokensPerSecond: number): FairLevels {
-    const { coveredMs, uses, recentlyServed } = sums;
-    const asked = [...uses.values()].map(use => use.asked);
-    const level = computeFairLevel(asked, (tokensPerSecond * coveredMs) / msPerSecond);
-    const recentPart = Math.min(1, recentSpanMs / coveredMs);
+function computeLevels(totals: FleetTotals, tokensPerSecond: number): FairLevels {
+    const { coveredMs, usages: uses, recentlyServed } = totals;
+    const requested = [...uses.values()].map(use => use.asked);
+    const level = computeFairLevel(requested, (tokensPerSecond * coveredMs) / msPerSecond);
+    const recentFraction = Math.min(1, recentWindowMs / coveredMs);
     const recentLevel = computeFairLevel(
-        asked.map(tokens => tokens * recentPart),
+        requested.map(tokens => tokens * recentFraction),
         recentlyServed,
     );
     return {
-        sums,
+        totals: totals,
         tokensPerSecond,
         window: Math.max(1, level),
-        recent: Math.max(1, level * recentPart),
-        surplus: Math.max(1, recentLevel, level * recentPart),
+        recent: Math.max(1, level * recentFraction),
+        surplus: Math.max(1, recentLevel, level * recentFraction),
     };
 }
 
-function addUses(own: AccountUse | undefined, others: AccountUse): AccountUse {
+function addUsage(own: AccountUse | undefined, others: AccountUse): AccountUse {
     return {
         asked: others.asked + (own?.asked ?? 0),
         served: others.served + (own?.served ?? 0),
--- a/src/decisions/shares/accountTotals.ts
+++ b/src/decisions/shares/accountTotals.ts
@@ -43,51 +43,51 @@
 export function mergeTotals(received: readonly ReceivedTotals[], nowMs: number): AccountTotals {
     const members = new Map<number, TotalsMember>();
     const accounts = new Map<string, AccountUse>();
-    let ageSum = 0;
+    let totalAgeMs = 0;
     let coveredMs = 0;
     for (const { totals, receivedAtMs } of received) {
         if (totals.members.some(member => members.has(member.routerHash))) {
             continue;
         }
         totals.members.forEach(member => members.set(member.routerHash, member));
-        ageSum += (totals.ageMs + nowMs - receivedAtMs) * totals.members.length;
+        totalAgeMs += (totals.ageMs + nowMs - receivedAtMs) * totals.members.length;
         coveredMs = Math.max(coveredMs, totals.coveredMs);
         addAccounts(accounts, totals.accounts);
     }
-    return { members: [...members.values()], ageMs: ageSum / Math.max(1, members.size), coveredMs, accounts };
+    return { members: [...members.values()], ageMs: totalAgeMs / Math.max(1, members.size), coveredMs, accounts };
 }
 
 /** Subtracts a report that is included in the totals. */
 export function removeReport(totals: AccountTotals, report: AccountTotals): AccountTotals {
     const removed = new Set(report.members.map(member => member.routerHash));
     const accounts = new Map<string, AccountUse>();
-    for (const [account, use] of totals.accounts) {
+    for (const [account, usage] of totals.accounts) {
         const own = report.accounts.get(account);
-        accounts.set(account, own === undefined ? use : computeRest(use, own));
+        accounts.set(account, own === undefined ? usage : computeRemainder(usage, own));
     }
     return { ...totals, members: totals.members.filter(member => !removed.has(member.routerHash)), accounts };
 }
 
-function addAccounts(sums: Map<string, AccountUse>, accounts: ReadonlyMap<string, AccountUse>): void {
-    for (const [account, use] of accounts) {
-        const before = sums.get(account);
-        sums.set(
+function addAccounts(totals: Map<string, AccountUse>, accounts: ReadonlyMap<string, AccountUse>): void {
+    for (const [account, usage] of accounts) {
+        const before = totals.get(account);
+        totals.set(
             account,
             before === undefined
-                ? use
+                ? usage
                 : {
-                      asked: before.asked + use.asked,
-                      served: before.served + use.served,
-                      recentlyServed: before.recentlyServed + use.recentlyServed,
+                      asked: before.asked + usage.asked,
+                      served: before.served + usage.served,
+                      recentlyServed: before.recentlyServed + usage.recentlyServed,
                   },
         );
     }
 }
 
-function computeRest(use: AccountUse, own: AccountUse): AccountUse {
+function computeRemainder(usage: AccountUse, own: AccountUse): AccountUse {
     return {
-        asked: Math.max(0, use.asked - own.asked),
-        served: Math.max(0, use.served - own.served),
-        recentlyServed: Math.max(0, use.recentlyServed - own.recentlyServed),
+        asked: Math.max(0, usage.asked - own.asked),
+        served: Math.max(0, usage.served - own.served),
+        recentlyServed: Math.max(0, usage.recentlyServed - own.recentlyServed),
     };
 }
--- a/src/decisions/shares/catchUpCap.ts
+++ b/src/decisions/shares/catchUpCap.ts
@@ -6,11 +6,11 @@
 export const catchUpCosts = 8;
 
 const sampleEveryMs = 500;
-const largestCostSpanMs = 60_000;
+const maxCostWindowMs = 60_000;
 
 interface Sample {
     readonly atMs: number;
-    readonly greatest: number;
+    readonly maxService: number;
 }
 
 /**
@@ -30,18 +30,18 @@
  */
 export class CatchUpCap {
     private readonly samples: Sample[] = [];
-    private largest = 0;
-    private largestBefore = 0;
-    private largestFromMs = 0;
+    private maxCost = 0;
+    private previousMaxCost = 0;
+    private maxCostSinceMs = 0;
 
     /** Records the normalized cost of a request that was started. */
     public observeCost(normalizedCost: number, nowMs: number): void {
-        if (nowMs - this.largestFromMs > largestCostSpanMs) {
-            this.largestBefore = nowMs - this.largestFromMs > 2 * largestCostSpanMs ? 0 : this.largest;
-            this.largest = 0;
-            this.largestFromMs = nowMs;
+        if (nowMs - this.maxCostSinceMs > maxCostWindowMs) {
+            this.previousMaxCost = nowMs - this.maxCostSinceMs > 2 * maxCostWindowMs ? 0 : this.maxCost;
+            this.maxCost = 0;
+            this.maxCostSinceMs = nowMs;
         }
-        this.largest = Math.max(this.largest, normalizedCost);
+        this.maxCost = Math.max(this.maxCost, normalizedCost);
     }
 
     /** Whether the next sample is due. Sampling visits every backlogged account, so it is rate-limited. */
@@ -51,12 +51,12 @@
     }
 
     /** Records the maximum normalized service among the accounts that are backlogged now. */
-    public observeGreatest(greatest: number, nowMs: number): void {
+    public observeGreatest(maxService: number, nowMs: number): void {
         const last = this.samples[this.samples.length - 1];
         if (last !== undefined && nowMs - last.atMs > catchUpWindowMs) {
             this.samples.length = 0;
         }
-        this.samples.push({ atMs: nowMs, greatest });
+        this.samples.push({ atMs: nowMs, maxService: maxService });
         while (this.samples.length > 1 && nowMs - (this.samples[1] as Sample).atMs >= catchUpWindowMs) {
             this.samples.shift();
         }
@@ -72,7 +72,7 @@
         if (first === undefined || last === undefined || nowMs - first.atMs < catchUpWindowMs) {
             return undefined;
         }
-        const leader = this.samples.reduce((least, sample) => Math.min(least, sample.greatest), last.greatest);
-        return Math.min(leader, last.greatest - catchUpCosts * Math.max(this.largest, this.largestBefore));
+        const leaderService = this.samples.reduce((min, sample) => Math.min(min, sample.maxService), last.maxService);
+        return Math.min(leaderService, last.maxService - catchUpCosts * Math.max(this.maxCost, this.previousMaxCost));
     }
 }
--- a/src/decisions/shares/costEstimate.ts
+++ b/src/decisions/shares/costEstimate.ts
@@ -54,8 +54,8 @@
  * and a constant serves a new service.
  */
 export class CostEstimator {
-    private readonly byAccount = new Map<string, LearnedAmount>();
-    private readonly byService = new Map<string, LearnedAmount>();
+    private readonly byAccount = new Map<string, AmountStatistics>();
+    private readonly byService = new Map<string, AmountStatistics>();
 
     /** Estimates a request. Costs from `longFromCost` on count as long. */
     public estimate(hint: CostHint, longFromCost: number): CostEstimate {
@@ -82,18 +82,18 @@
         hintClass: "short" | "long",
         amount: number,
     ): void {
-        openAmount(this.byAccount, `${hint.service}\n${hintClass}\n${hint.clientAccount}`).observe(amount);
-        openAmount(this.byService, `${hint.service}\n${hintClass}`).observe(amount);
+        openStatistics(this.byAccount, `${hint.service}\n${hintClass}\n${hint.clientAccount}`).observe(amount);
+        openStatistics(this.byService, `${hint.service}\n${hintClass}`).observe(amount);
     }
 
-    private find(hint: CostHint, hintClass: "short" | "long"): LearnedAmount | undefined {
+    private find(hint: CostHint, hintClass: "short" | "long"): AmountStatistics | undefined {
         const own = this.byAccount.get(`${hint.service}\n${hintClass}\n${hint.clientAccount}`);
         return own ?? this.byService.get(`${hint.service}\n${hintClass}`);
     }
 }
 
 /** Running statistics of one kind of request, created with its first sample. */
-class LearnedAmount {
+class AmountStatistics {
     private readonly quantile = new RunningQuantile(chargedQuantile);
     private samples = 0;
     private currentMean = 0;
@@ -113,12 +113,12 @@
     }
 }
 
-function openAmount(amounts: Map<string, LearnedAmount>, key: string): LearnedAmount {
-    const known = amounts.get(key);
-    if (known !== undefined) {
-        return known;
+function openStatistics(amounts: Map<string, AmountStatistics>, key: string): AmountStatistics {
+    const existing = amounts.get(key);
+    if (existing !== undefined) {
+        return existing;
     }
-    const amount = new LearnedAmount();
+    const amount = new AmountStatistics();
     amounts.set(key, amount);
     return amount;
 }
--- a/src/decisions/shares/engineShares.ts
+++ b/src/decisions/shares/engineShares.ts
@@ -10,9 +10,9 @@
 import { computeFairLevel } from "./accountShares.js";
 
 /** Window in milliseconds; long enough that each account of an overload sends several requests to each engine. */
-const spanMs = 4_000;
+const windowMs = 4_000;
 
-interface AccountSums {
+interface AccountWindows {
     readonly asked: WindowedSum;
     readonly granted: WindowedSum;
     lastAtMs: number;
@@ -20,15 +20,15 @@
 
 /** Records what accounts requested and were granted at one engine. */
 export class EngineShares {
-    private readonly accounts = new Map<number, AccountSums>();
+    private readonly accounts = new Map<number, AccountWindows>();
 
     /** Records requested tokens. `account` is the account's hash; tokens count as they do in account shares. */
     public recordAsked(account: number, tokens: number, nowMs: number): void {
-        this.findSums(account, nowMs).asked.add(tokens, nowMs);
+        this.findWindows(account, nowMs).asked.add(tokens, nowMs);
     }
 
     public recordGranted(account: number, tokens: number, nowMs: number): void {
-        this.findSums(account, nowMs).granted.add(tokens, nowMs);
+        this.findWindows(account, nowMs).granted.add(tokens, nowMs);
     }
 
     /**
@@ -41,25 +41,25 @@
             return 0;
         }
         let granted = 0;
-        const asked: number[] = [];
-        for (const [id, sums] of this.accounts) {
-            if (nowMs - sums.lastAtMs > spanMs) {
+        const requested: number[] = [];
+        for (const [id, windows] of this.accounts) {
+            if (nowMs - windows.lastAtMs > windowMs) {
                 this.accounts.delete(id);
             } else {
-                asked.push(sums.asked.getTotal(nowMs));
-                granted += sums.granted.getTotal(nowMs);
+                requested.push(windows.asked.getTotal(nowMs));
+                granted += windows.granted.getTotal(nowMs);
             }
         }
-        return own / Math.max(1, computeFairLevel(asked, granted));
+        return own / Math.max(1, computeFairLevel(requested, granted));
     }
 
-    private findSums(account: number, nowMs: number): AccountSums {
-        let sums = this.accounts.get(account);
-        if (sums === undefined) {
-            sums = { asked: new WindowedSum(spanMs), granted: new WindowedSum(spanMs), lastAtMs: nowMs };
-            this.accounts.set(account, sums);
+    private findWindows(account: number, nowMs: number): AccountWindows {
+        let windows = this.accounts.get(account);
+        if (windows === undefined) {
+            windows = { asked: new WindowedSum(windowMs), granted: new WindowedSum(windowMs), lastAtMs: nowMs };
+            this.accounts.set(account, windows);
         }
-        sums.lastAtMs = nowMs;
-        return sums;
+        windows.lastAtMs = nowMs;
+        return windows;
     }
 }
--- a/src/decisions/shares/fairQueue.ts
+++ b/src/decisions/shares/fairQueue.ts
@@ -127,9 +127,9 @@
         const short = this.shortHeap.getLeast();
         const long = allowLong ? this.longHeap.getLeast() : undefined;
         if (short === undefined || long === undefined) {
-            const only = short ?? long;
+            const candidate = short ?? long;
             const workClass = short === undefined ? "long" : "short";
-            return only === undefined ? undefined : this.accounts.get(only.key)?.[workClass].getFirst();
+            return candidate === undefined ? undefined : this.accounts.get(candidate.key)?.[workClass].getFirst();
         }
         if (short.key === long.key) {
             const account = this.accounts.get(short.key);
@@ -177,9 +177,9 @@
     }
 
     private openAccount(name: string, normalizedService: number, weight: number): AccountQueue<T> {
-        const known = this.accounts.get(name);
-        if (known !== undefined) {
-            return known;
+        const existing = this.accounts.get(name);
+        if (existing !== undefined) {
+            return existing;
         }
         const account = {
             short: new WorkList<T>(),
--- a/src/decisions/shares/outputLength.ts
+++ b/src/decisions/shares/outputLength.ts
@@ -21,7 +21,7 @@
     }
 
     /** Estimates the tokens that a request will generate, given the maximum that its caller requested. */
-    public estimate(most: number): number {
-        return this.samples === 0 ? most : Math.min(most, this.mean);
+    public estimate(maxTokens: number): number {
+        return this.samples === 0 ? maxTokens : Math.min(maxTokens, this.mean);
     }
 }
--- a/src/decisions/shares/peerEstimate.ts
+++ b/src/decisions/shares/peerEstimate.ts
@@ -41,9 +41,9 @@
 }
 
 /** Reported usage, split into the part that is still within its window and the part that has expired by now. */
-interface ReportedUse {
-    askedWithin: number;
-    askedExpired: number;
+interface ReportedUsage {
+    requestedWithin: number;
+    requestedExpired: number;
     servedWithin: number;
     servedExpired: number;
     recentWithin: number;
@@ -52,16 +52,16 @@
 
 /** Estimates the usage of accounts at all other routers together. */
 export class PeerEstimate {
-    private readonly reported = new Map<string, ReportedUse>();
+    private readonly reported = new Map<string, ReportedUsage>();
     /** Mean age of the other routers' reports in milliseconds; 0 if there are no other routers. */
     public readonly meanAgeMs: number;
-    private askedOfPeers = 0;
+    private requestedOfPeers = 0;
 
     /** `askedOfThis`: tokens that all accounts requested of this router within the window. */
     public constructor(
         peers: readonly ReportedAccounts[],
-        private readonly spans: UseSpans,
-        private readonly askedOfThis: number,
+        private readonly windows: UseSpans,
+        private readonly requestedOfThis: number,
     ) {
         const routerCount = peers.reduce((sum, peer) => sum + (peer.routerCount ?? 1), 0);
         this.meanAgeMs =
@@ -78,39 +78,39 @@
 
     /** Estimates what the account has requested of the other routers and been served there by now. */
     public estimate(account: string, own: OwnSample): AccountUse {
-        const reported = this.reported.get(account) ?? createReportedUse();
+        const reported = this.reported.get(account) ?? createReportedUsage();
         if (own.askedSince <= 0) {
             return {
-                asked: reported.askedWithin + reported.askedExpired,
+                asked: reported.requestedWithin + reported.requestedExpired,
                 served: reported.servedWithin + reported.servedExpired,
                 recentlyServed: reported.recentWithin + reported.recentExpired,
             };
         }
-        const askedHere = this.estimateAskedHere(own);
-        const excess = Math.max(0, own.askedSince - askedHere * (this.meanAgeMs / this.spans.windowMs));
-        const askedSince = reported.askedExpired + excess * this.computePeerRatio(reported, askedHere);
-        const servedSince = askedSince * (own.servedSince / own.askedSince);
-        const recentPart = Math.min(1, this.spans.recentMs / this.meanAgeMs);
+        const requestedHere = this.estimateRequestedHere(own);
+        const excess = Math.max(0, own.askedSince - requestedHere * (this.meanAgeMs / this.windows.windowMs));
+        const requestedSince = reported.requestedExpired + excess * this.computePeerRatio(reported, requestedHere);
+        const servedSince = requestedSince * (own.servedSince / own.askedSince);
+        const recentFraction = Math.min(1, this.windows.recentMs / this.meanAgeMs);
         return {
-            asked: reported.askedWithin + askedSince,
+            asked: reported.requestedWithin + requestedSince,
             served: reported.servedWithin + servedSince,
-            recentlyServed: reported.recentWithin + servedSince * recentPart,
+            recentlyServed: reported.recentWithin + servedSince * recentFraction,
         };
     }
 
     private addPeer({ accounts, ageMs }: ReportedAccounts): void {
-        const windowPart = Math.min(1, ageMs / this.spans.windowMs);
-        const recentPart = Math.min(1, ageMs / this.spans.recentMs);
-        for (const [account, use] of accounts) {
-            const reported = this.reported.get(account) ?? createReportedUse();
-            reported.askedWithin += use.asked * (1 - windowPart);
-            reported.askedExpired += use.asked * windowPart;
-            reported.servedWithin += use.served * (1 - windowPart);
-            reported.servedExpired += use.served * windowPart;
-            reported.recentWithin += use.recentlyServed * (1 - recentPart);
-            reported.recentExpired += use.recentlyServed * recentPart;
+        const windowFraction = Math.min(1, ageMs / this.windows.windowMs);
+        const recentFraction = Math.min(1, ageMs / this.windows.recentMs);
+        for (const [account, usage] of accounts) {
+            const reported = this.reported.get(account) ?? createReportedUsage();
+            reported.requestedWithin += usage.asked * (1 - windowFraction);
+            reported.requestedExpired += usage.asked * windowFraction;
+            reported.servedWithin += usage.served * (1 - windowFraction);
+            reported.servedExpired += usage.served * windowFraction;
+            reported.recentWithin += usage.recentlyServed * (1 - recentFraction);
+            reported.recentExpired += usage.recentlyServed * recentFraction;
             this.reported.set(account, reported);
-            this.askedOfPeers += use.asked;
+            this.requestedOfPeers += usage.asked;
         }
     }
 
@@ -118,21 +118,28 @@
      * Tokens the account requested of this router within the window of the reports, extrapolated from its rate before
      * the reports.
      */
-    private estimateAskedHere(own: OwnSample): number {
-        const beforeMs = this.spans.windowMs - this.meanAgeMs;
-        return beforeMs > 0 ? ((own.asked - own.askedSince) * this.spans.windowMs) / beforeMs : own.asked;
+    private estimateRequestedHere(own: OwnSample): number {
+        const beforeMs = this.windows.windowMs - this.meanAgeMs;
+        return beforeMs > 0 ? ((own.asked - own.askedSince) * this.windows.windowMs) / beforeMs : own.asked;
     }
 
     /** Ratio of what the account requests of the other routers to what it requests of this one. */
-    private computePeerRatio(reported: ReportedUse, askedHere: number): number {
-        const trafficRatio = this.askedOfPeers / Math.max(1, this.askedOfThis);
+    private computePeerRatio(reported: ReportedUsage, requestedHere: number): number {
+        const trafficRatio = this.requestedOfPeers / Math.max(1, this.requestedOfThis);
         // The proportion is unknown for an account that requested nothing from this router before.
-        return askedHere > 0
-            ? Math.min(trafficRatio, (reported.askedWithin + reported.askedExpired) / askedHere)
+        return requestedHere > 0
+            ? Math.min(trafficRatio, (reported.requestedWithin + reported.requestedExpired) / requestedHere)
             : trafficRatio;
     }
 }
 
-function createReportedUse(): ReportedUse {
-    return { askedWithin: 0, askedExpired: 0, servedWithin: 0, servedExpired: 0, recentWithin: 0, recentExpired: 0 };
+function createReportedUsage(): ReportedUsage {
+    return {
+        requestedWithin: 0,
+        requestedExpired: 0,
+        servedWithin: 0,
+        servedExpired: 0,
+        recentWithin: 0,
+        recentExpired: 0,
+    };
 }
--- a/src/decisions/shares/serviceLedger.ts
+++ b/src/decisions/shares/serviceLedger.ts
@@ -37,7 +37,7 @@
 export const idleAfterMs = 2_000;
 
 const ratioDecay = 0.8;
-const greatestRatio = 256;
+const maxRatio = 256;
 
 const neverActive = Number.NEGATIVE_INFINITY;
 
@@ -104,10 +104,10 @@
             own += entry.decayedOwn;
             claimed += entry.decayedClaimed;
         }
-        const usual = own > 0 ? Math.min(greatestRatio, claimed / own) : 0;
+        const averageRatio = own > 0 ? Math.min(maxRatio, claimed / own) : 0;
         for (const entry of this.entries.values()) {
-            const ratio = entry.decayedOwn > 0 ? entry.decayedClaimed / entry.decayedOwn : usual;
-            entry.othersPerOwn = Math.min(ratio, usual);
+            const ratio = entry.decayedOwn > 0 ? entry.decayedClaimed / entry.decayedOwn : averageRatio;
+            entry.othersPerOwn = Math.min(ratio, averageRatio);
         }
         return true;
     }
@@ -174,16 +174,16 @@
      * the end of a busy period.
      */
     public getReturnFloor(nowMs: number): number {
-        let least: number | undefined;
-        let greatest = 0;
+        let min: number | undefined;
+        let max = 0;
         for (const entry of this.entries.values()) {
             const service = getNet(entry) + entry.lift;
-            greatest = Math.max(greatest, service);
-            if (nowMs - entry.lastActiveAtMs <= idleAfterMs && (least === undefined || service < least)) {
-                least = service;
+            max = Math.max(max, service);
+            if (nowMs - entry.lastActiveAtMs <= idleAfterMs && (min === undefined || service < min)) {
+                min = service;
             }
         }
-        return least ?? greatest;
+        return min ?? max;
     }
 
     /**
@@ -225,9 +225,9 @@
     }
 
     private openEntry(clientAccount: string): LedgerEntry {
-        const known = this.entries.get(clientAccount);
-        if (known !== undefined) {
-            return known;
+        const existing = this.entries.get(clientAccount);
+        if (existing !== undefined) {
+            return existing;
         }
         const entry = {
             charged: 0,
--- a/test/decisions/shares/costEstimate.test.ts
+++ b/test/decisions/shares/costEstimate.test.ts
@@ -2,7 +2,7 @@
 import { CostEstimator } from "../../../src/decisions/shares/costEstimate.js";
 
 describe("CostEstimator", () => {
-    it("learns that a generous limit is a habit, account by account", () => {
+    it("learns per account that requests use less than a generous limit", () => {
         const estimator = new CostEstimator();
         const hint = {
             clientAccount: "club",
--- a/test/decisions/shares/engineShares.test.ts
+++ b/test/decisions/shares/engineShares.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from "vitest";
 import { EngineShares } from "../../../src/decisions/shares/engineShares.js";
 
-const [flood, steady, small] = [1, 2, 3];
+const [burst, steady, small] = [1, 2, 3];
 const tokens = 5_000;
 
 /** Records the given number of requests per account, all of them granted. */
@@ -17,9 +17,9 @@
 }
 
 describe("accounts at one engine", () => {
-    it("stand by what they got over the even level, the last request left out", () => {
-        const shares = createShares({ [flood]: 20, [steady]: 10, [small]: 1 });
-        const surpluses = [flood, steady, small].map(account => shares.computeSurplus(account, tokens, 2_000));
+    it("have no surplus while everything they request is granted", () => {
+        const shares = createShares({ [burst]: 20, [steady]: 10, [small]: 1 });
+        const surpluses = [burst, steady, small].map(account => shares.computeSurplus(account, tokens, 2_000));
         expect(surpluses.map(surplus => Number(surplus.toFixed(2)))).toMatchInlineSnapshot(`
           [
             0,
@@ -30,9 +30,9 @@
     });
 
     // Otherwise an account with one long prompt would be held back as if it had sent a burst.
-    it("are not held back for a single request, nor for what they got long ago", () => {
-        const shares = createShares({ [flood]: 1, [steady]: 10 });
-        const once = shares.computeSurplus(flood, tokens, 1_000);
+    it("have no surplus for a single request or for grants outside the window", () => {
+        const shares = createShares({ [burst]: 1, [steady]: 10 });
+        const once = shares.computeSurplus(burst, tokens, 1_000);
         expect([once, shares.computeSurplus(steady, tokens, 60_000)]).toEqual([0, 0]);
     });
 });
--- a/test/decisions/shares/estimateSpread.test.ts
+++ b/test/decisions/shares/estimateSpread.test.ts
@@ -10,11 +10,11 @@
 const requestTokens = 9_000;
 const tokensPerSecond = 2_400_000;
 /** Requests per second of the account that sends to all routers, and the fraction of them that is granted. */
-const floodRate = 950;
-const floodGrantedPart = 0.12;
+const overloadRate = 950;
+const overloadGrantedFraction = 0.12;
 /** The same for an account whose callers reach only one router. */
 const narrowRate = 160;
-const narrowGrantedPart = 0.25;
+const narrowGrantedFraction = 0.25;
 const routersPerDataCentre = 14;
 /** Period of a router's reports to all others at this fleet size; used by routers without fresh totals. */
 const meshPeriodMs = 1_300;
@@ -25,7 +25,7 @@
 /**
  * The service of accounts may differ by this factor, so the routers' estimates for one account must not differ by more.
  */
-const mostFactor = 2;
+const maxFactor = 2;
 const seeds = [1, 2, 3];
 
 /** Ratios of the routers' surplus estimates for the overloading account to its exact surplus. */
@@ -36,14 +36,14 @@
     const clock = new ManualClock();
     const aggregations = createAggregations(shares, clock);
     const factors: number[] = [];
-    const serve = (account: string, routerIndex: number, part: number, nowMs: number): void => {
+    const serve = (account: string, routerIndex: number, fraction: number, nowMs: number): void => {
         shares[routerIndex].recordAsked(account, requestTokens, nowMs);
-        if (random.next() < part) {
+        if (random.next() < fraction) {
             shares[routerIndex].recordServed(account, requestTokens, nowMs);
         }
     };
     const computeSurplus = (routerIndex: number, peers: readonly ReportedRouter[], nowMs: number): number =>
-        shares[routerIndex].computeUse("flood", peers, tokensPerSecond, nowMs).surplus;
+        shares[routerIndex].computeUse("overload", peers, tokensPerSecond, nowMs).surplus;
     for (let nowMs = 0; nowMs < runMs; nowMs++) {
         for (const [index, router] of shares.entries()) {
             if (isDue(index, meshPeriodMs, nowMs)) {
@@ -55,11 +55,11 @@
                 }
             }
         }
-        if (random.next() < floodRate / msPerSecond) {
-            serve("flood", Math.floor(random.next() * routerCount), floodGrantedPart, nowMs);
+        if (random.next() < overloadRate / msPerSecond) {
+            serve("overload", Math.floor(random.next() * routerCount), overloadGrantedFraction, nowMs);
         }
         if (random.next() < narrowRate / msPerSecond) {
-            serve("narrow", 0, narrowGrantedPart, nowMs);
+            serve("narrow", 0, narrowGrantedFraction, nowMs);
         }
         if (nowMs >= warmUpMs && nowMs % checkPeriodMs === 0) {
             const exact = shares.map(router => ({ ...router.listOwn(nowMs), ageMs: 0 }));
@@ -104,14 +104,14 @@
 
 /** Uses a separate instance, because a router caches its totals for some milliseconds. */
 function computeExactSurplus(exact: readonly ReportedRouter[], nowMs: number): number {
-    return new AccountShares(windowMs).computeUse("flood", exact, tokensPerSecond, nowMs).surplus;
+    return new AccountShares(windowMs).computeUse("overload", exact, tokensPerSecond, nowMs).surplus;
 }
 
-describe("68 routers that an account floods", () => {
+describe("68 routers that one account overloads", () => {
     // A router whose estimate for the account is too low admits it; with many routers there is always such a router.
-    it("differ by no more than accounts may in what they believe that it has had", () => {
+    it("differ in their estimates of the account's usage by no more than the allowed factor", () => {
         const factors = seeds.flatMap(listFactors);
-        expect(Math.min(...factors)).toBeGreaterThanOrEqual(1 / mostFactor);
-        expect(Math.max(...factors)).toBeLessThanOrEqual(mostFactor);
+        expect(Math.min(...factors)).toBeGreaterThanOrEqual(1 / maxFactor);
+        expect(Math.max(...factors)).toBeLessThanOrEqual(maxFactor);
     });
 });
--- a/test/decisions/shares/fairFloods.test.ts
+++ b/test/decisions/shares/fairFloods.test.ts
@@ -7,19 +7,19 @@
  * Minimum ratio of served tokens to what the account requested or what the best-served account received, whichever is
  * less.
  */
-const leastPart = 0.5;
+const minRatio = 0.5;
 const seeds = [1, 2, 3, 4, 5];
 const twentySeeds = Array.from({ length: 20 }, (...[, index]) => index + 1);
 
 /** The minimum ratio over all seeds. */
-function computeLeastPart(routerCount: number, peerPeriodMs: number): number {
-    const parts = seeds.map(seed =>
+function computeMinRatio(routerCount: number, peerPeriodMs: number): number {
+    const ratios = seeds.map(seed =>
         findLeastPart(runPromptFleet({ ...floodedFleet, routerCount, peerPeriodMs, seed }, threeFloods).seconds),
     );
-    return Math.min(...parts);
+    return Math.min(...ratios);
 }
 
-describe("accounts that flood one beside the other", () => {
+describe("accounts that overload the fleet at the same time", () => {
     // Three accounts overload the fleet, each starting after the previous one, and a quarter of the engines is lost in
     // between. Routers balance the accounts by the last reports of the others. Without estimates, all routers admit
     // only the account that was behind in the last round, and another one in the next round. Some requests of an
@@ -32,16 +32,16 @@
         ["24 routers each 600 ms", 24, 600],
         ["40 routers each 2,900 ms", 40, 2_900],
         ["68 routers each 2,900 ms", 68, 2_900],
-    ])("all get their part while %s tell one another what they gave", (...[, routerCount, peerPeriodMs]) => {
-        expect(computeLeastPart(routerCount, peerPeriodMs)).toBeGreaterThanOrEqual(leastPart);
+    ])("are all served their minimum while %s exchange reports", (...[, routerCount, peerPeriodMs]) => {
+        expect(computeMinRatio(routerCount, peerPeriodMs)).toBeGreaterThanOrEqual(minRatio);
     });
 
     // A quarter of the engines is lost, and the rest serves less than the nominal throughput. The fair level is then
     // above what accounts are served, so no account counts as beyond its share and capacity goes to the first that
     // requests it.
-    it("all get their part while the fleet gives less than was promised", () => {
+    it("are all served their minimum while the fleet serves less than its nominal throughput", () => {
         const { fleet, loads } = floodScenarios.find(({ name }) => name === "three-floods-large-promise")!;
-        const parts = twentySeeds.map(seed => findLeastPart(runPromptFleet({ ...fleet, seed }, loads).seconds));
-        expect(Math.min(...parts)).toBeGreaterThanOrEqual(leastPart);
+        const ratios = twentySeeds.map(seed => findLeastPart(runPromptFleet({ ...fleet, seed }, loads).seconds));
+        expect(Math.min(...ratios)).toBeGreaterThanOrEqual(minRatio);
     });
 });
--- a/test/decisions/shares/fairQueue.test.ts
+++ b/test/decisions/shares/fairQueue.test.ts
@@ -60,7 +60,7 @@
 }
 
 describe("FairQueue", () => {
-    it("takes the oldest of a backlogged account with the least service, whatever was added and withdrawn", () => {
+    it("takes the oldest item of a backlogged account with the least service after any sequence of additions and removals", () => {
         fc.assert(fc.property(fc.array(step, { maxLength: 120, size: "max" }), checkAgainstList), {
             seed: 2,
             numRuns: 200,
@@ -69,7 +69,7 @@
 
     // Neither short nor long work of an account may starve. Both classes of one account are backlogged; each receives
     // half of the account's cost.
-    it("shares an account's turns between short and long by cost", () => {
+    it("divides an account's cost evenly between short and long work", () => {
         const queue = new FairQueue<QueuedItem>();
         for (let index = 0; index < 60; index += 1) {
             queue.add({ id: `s${index}`, clientAccount: "a", workClass: "short", cost: 10 }, 0, 1);
--- a/test/decisions/shares/idleShare.test.ts
+++ b/test/decisions/shares/idleShare.test.ts
@@ -4,19 +4,19 @@
 describe("the share of idle engines", () => {
     // An engine under constant demand is idle for a moment between two prompts; a single sample must not make it appear
     // free.
-    it("forgets within seconds and is not decided by one look", () => {
+    it("follows a lasting change within seconds and is not dominated by a single sample", () => {
         const share = new IdleShare();
-        const seen: number[] = [];
+        const shares: number[] = [];
         const observe = (idle: number, fromMs: number, toMs: number): void => {
             for (let nowMs = fromMs; nowMs < toMs; nowMs += 10) {
                 share.observe(idle, 8, nowMs);
             }
-            seen.push(Number(share.current.toFixed(1)));
+            shares.push(Number(share.current.toFixed(1)));
         };
         observe(0, 0, 1_000);
         observe(8, 1_000, 1_050);
         observe(8, 1_050, 5_000);
         observe(0, 5_000, 9_000);
-        expect(seen).toEqual([0, 0, 1, 0]);
+        expect(shares).toEqual([0, 0, 1, 0]);
     });
 });
--- a/test/decisions/shares/narrowAccounts.test.ts
+++ b/test/decisions/shares/narrowAccounts.test.ts
@@ -10,11 +10,11 @@
 const rate = 8;
 const otherRate = 600;
 const otherAccounts = 20;
-const grantedPart = 0.6;
-const roundMs = 1_100;
-const shortRoundMs = 50;
+const grantedFraction = 0.6;
+const reportPeriodMs = 1_100;
+const shortReportPeriodMs = 50;
 /** Two aggregation periods: one until a report is included in the totals, one until the totals are forwarded. */
-const aggregatedMs = 200;
+const aggregatedPeriodMs = 200;
 const warmUpMs = 5_000;
 const runMs = 12_000;
 const msPerSecond = 1_000;
@@ -22,9 +22,9 @@
 /**
  * An account whose estimated usage is this many times the real one is held back to half of another account's service.
  */
-const mostRatio = 2;
+const maxRatio = 2;
 /** An account whose estimated usage is this fraction of the real one receives twice another account's service. */
-const leastRatio = 0.5;
+const minRatio = 0.5;
 const movePeriodMs = 3_000;
 
 interface Arrival {
@@ -45,14 +45,14 @@
     const random = new SeededRandom(seed);
     const shares = Array.from({ length: routerCount }, () => new AccountShares(windowMs));
     const reports = shares.map(router => ({ ...router.listOwn(0), atMs: 0 }));
-    const sums = new Map([
+    const totals = new Map([
         ["narrow", { surplus: 0, requests: 0 }],
         ["wide", { surplus: 0, requests: 0 }],
     ]);
     const serve = ({ account, routerIndex }: Arrival, nowMs: number): void => {
         const router = shares[routerIndex];
         router.recordAsked(account, requestTokens, nowMs);
-        const own = sums.get(account);
+        const own = totals.get(account);
         if (own !== undefined && nowMs >= warmUpMs) {
             const peers: readonly ReportedRouter[] = reports
                 .filter((...[, index]) => index !== routerIndex)
@@ -60,7 +60,7 @@
             own.surplus += router.computeUse(account, peers, tokensPerSecond, nowMs).surplus;
             own.requests += 1;
         }
-        if (random.next() < grantedPart) {
+        if (random.next() < grantedFraction) {
             router.recordServed(account, requestTokens, nowMs);
         }
     };
@@ -83,7 +83,7 @@
             serve({ account: "wide", routerIndex: chooseRouter(routerCount) }, nowMs);
         }
     }
-    const [narrow, wide] = [...sums.values()].map(({ surplus, requests }) => surplus / requests);
+    const [narrow, wide] = [...totals.values()].map(({ surplus, requests }) => surplus / requests);
     return { narrow, wide };
 }
 
@@ -93,26 +93,29 @@
     return narrow / means.reduce((sum, mean) => sum + mean.wide, 0);
 }
 
-describe("two accounts that ask 68 routers for the same and get the same, one of them at few routers only", () => {
+describe("two accounts with equal requests and service at 68 routers, one of them at few routers only", () => {
     // Requests to the other routers are estimated from this router's traffic. With the proportion of all traffic, each
     // burst of an account that reaches few routers would be counted for all of them.
-    it.each([4, 1])("count as having had about as much while sums are a round old, at %i of the routers", reach => {
-        const ratio = computeRatio(reach, roundMs);
-        expect(ratio).toBeLessThanOrEqual(mostRatio);
-        expect(ratio).toBeGreaterThanOrEqual(leastRatio);
-    });
+    it.each([4, 1])(
+        "have about the same estimated usage with totals that are one report period old, at %i of the routers",
+        reach => {
+            const ratio = computeRatio(reach, reportPeriodMs);
+            expect(ratio).toBeLessThanOrEqual(maxRatio);
+            expect(ratio).toBeGreaterThanOrEqual(minRatio);
+        },
+    );
 
     // A balancer moves the callers to another router, which has not seen the account and uses the proportion of all
     // traffic.
-    it.fails("count as having had about as much while the callers of one move to another router", () => {
-        expect(computeRatio(1, roundMs, movePeriodMs)).toBeLessThanOrEqual(mostRatio);
+    it.fails("have about the same estimated usage while the callers of one move to another router", () => {
+        expect(computeRatio(1, reportPeriodMs, movePeriodMs)).toBeLessThanOrEqual(maxRatio);
     });
 
-    it("count as having had about as much while the callers of one move, with the sums of aggregators", () => {
-        expect(computeRatio(1, aggregatedMs, movePeriodMs)).toBeLessThanOrEqual(mostRatio);
+    it("have about the same estimated usage while the callers of one move, with aggregated totals", () => {
+        expect(computeRatio(1, aggregatedPeriodMs, movePeriodMs)).toBeLessThanOrEqual(maxRatio);
     });
 
-    it.each([4, 1])("count as having had about as much with sums that are hardly late, at %i of the routers", reach => {
-        expect(computeRatio(reach, shortRoundMs)).toBeLessThanOrEqual(mostRatio);
+    it.each([4, 1])("have about the same estimated usage with nearly current totals, at %i of the routers", reach => {
+        expect(computeRatio(reach, shortReportPeriodMs)).toBeLessThanOrEqual(maxRatio);
     });
 });
--- a/test/decisions/shares/serviceLedger.test.ts
+++ b/test/decisions/shares/serviceLedger.test.ts
@@ -13,7 +13,7 @@
 };
 
 describe("ServiceLedger", () => {
-    it("gives the same service whatever the order of claims and however often each comes", () => {
+    it("yields the same service for any order and repetition of claims", () => {
         fc.assert(
             fc.property(
                 fc
@@ -34,7 +34,7 @@
         );
     });
 
-    it("lifts to a floor, never down, and tells own changes since a report", () => {
+    it("lifts to a floor, never down, and lists own changes since a report", () => {
         const ledger = new ServiceLedger();
         ledger.chargeAccount("club", 10, 1);
         ledger.recordRefund("club", 4, 2);
@@ -75,7 +75,7 @@
 
     // Guards against a stall after an account returns. An agent that has just started receives the whole past in one
     // claim, which is no sign of present activity; an increase after it is.
-    it("takes an account for idle until claims rise", () => {
+    it("treats an account as idle until its claims increase", () => {
         const ledger = new ServiceLedger();
         const idle: boolean[] = [];
         ledger.mergeClaim("club", { charged: 1_000, refunded: 0, lift: 0 }, 10_000);
@@ -87,7 +87,7 @@
 });
 
 describe("CatchUpCap", () => {
-    it("lets a lag stand that is younger than its window or smaller than eight of the largest cost", () => {
+    it("allows a lag that is younger than the window or smaller than eight times the largest cost", () => {
         const cap = new CatchUpCap();
         cap.observeCost(100, 0);
         const floors: (number | undefined)[] = [];
