--- a/src/decisions/health/availabilityRegistry.ts
+++ b/src/decisions/health/availabilityRegistry.ts
@@ -1,32 +1,38 @@
 import { LRUCache } from "lru-cache";
 import { TargetAvailability } from "./targetAvailability.js";
 
-/** One start of a target. A target may start again under its id; what was learnt of the start before says nothing of it. */
+/**
+ * One start of a target. A target may restart under the same id; what was observed of the previous start does not apply
+ * to the next.
+ */
 export interface TargetIncarnation {
     /** 32-bit hash of the target's id. */
     readonly idHash: number;
-    /** When it started, by its own clock; undefined when it does not say. */
+    /** Start time by the target's own clock; undefined if the target does not report it. */
     readonly startedAtMs: number | undefined;
 }
 
-/** Several times the targets of a large fleet; those that are gone are forgotten as later ones come. */
+/** Several times the number of targets in a large fleet; the least recently used entries are evicted. */
 const mostIncarnations = 32_768;
 
-/** Earlier starts of one target that are remembered; an older copy of the store is seconds old. */
+/** Maximum number of earlier start times cached per target; an older copy of the store lags by seconds only. */
 const mostPastStarts = 8;
 
-/** The starts that records of one target have named. */
+/** The start times in the records of one target so far. */
 interface Starts {
     current: number;
     past: readonly number[];
 }
 
-/** Keeps the availability of incarnations beyond their records, which lapse and return while the platform's store is away. */
+/**
+ * Keeps the availability of incarnations independently of their records, which expire and reappear while the platform's
+ * store is unavailable.
+ */
 export class AvailabilityRegistry {
     private readonly incarnations = new LRUCache<string, TargetAvailability>({ max: mostIncarnations });
     private readonly starts = new LRUCache<number, Starts>({ max: mostIncarnations });
 
-    /** The incarnation's availability, made at the first call. */
+    /** The incarnation's availability, created on first use. */
     public find(incarnation: TargetIncarnation): TargetAvailability {
         const key = formatKey(incarnation);
         let availability = this.incarnations.get(key);
@@ -38,8 +44,9 @@
     }
 
     /**
-     * Takes the start that a target's record names; false: records have named another one since, so that this record is from an older
-     * copy. Starts are told apart and not compared, as a target's clock may jump.
+     * Records the start time from a target's record. Returns false if records have contained another start time since,
+     * which means that this record is from an older copy of the store. Start times are only tested for equality,
+     * because a target's clock may jump.
      */
     public recordStart({ idHash, startedAtMs }: TargetIncarnation): boolean {
         if (startedAtMs === undefined) {
@@ -60,7 +67,10 @@
         return true;
     }
 
-    /** A target's record is gone. Without a start time an incarnation can't be told from the next one of its id. */
+    /**
+     * Drops the availability of an incarnation whose record was removed, if it has no start time: it could not be
+     * distinguished from the next incarnation of the same id.
+     */
     public removeUnnamed(incarnation: TargetIncarnation): void {
         if (incarnation.startedAtMs === undefined) {
             this.incarnations.delete(formatKey(incarnation));
--- a/src/decisions/health/circuitBreaker.ts
+++ b/src/decisions/health/circuitBreaker.ts
@@ -1,18 +1,19 @@
 import type { Random } from "../../base/random.js";
 
-/** Failures in a row that open the circuit: fewer would open it on a caller's own bad requests. */
+/** Consecutive failures that open the circuit. With fewer, a caller's own invalid requests would open it. */
 export const failuresToOpen = 5;
-/** First pause; milliseconds. Doubles with each failed probe. */
+/** Duration of the first pause in milliseconds; it doubles with each failed probe. */
 export const firstPauseMs = 500;
-/** Longest pause; a target that comes back is found again within this time. */
+/** Maximum pause in milliseconds; a target that recovers is detected within this time. */
 export const longestPauseMs = 15_000;
 
 /**
- * Stops sending work to a target that fails again and again, and tries it again with one request at a time.
+ * Stops sending work to a target that fails repeatedly, and then probes it with one request at a time.
  *
- * Load pattern: a target that fails at once. It always has free slots, so it draws the fleet's whole backlog and turns
- * it into errors within seconds. Open, the circuit starts nothing; after the pause one probe tells whether
- * work may flow again. Pauses double with jitter, so that the agents of one failed store do not probe in step.
+ * Load pattern: a target that fails requests immediately. It always has free slots, so it attracts the whole backlog of
+ * the fleet and turns it into errors within seconds. While the circuit is open, no work is started; after the pause a
+ * single probe determines whether work may be sent again. Pauses double with jitter, so that the agents of one failed
+ * store do not probe at the same moment.
  */
 export class CircuitBreaker {
     private failures = 0;
@@ -26,7 +27,7 @@
         return this.openUntilMs !== undefined;
     }
 
-    /** When the next probe may start; undefined while closed or while a probe runs. */
+    /** Earliest start of the next probe; undefined while the circuit is closed or a probe is running. */
     public get probeAtMs(): number | undefined {
         return this.probeId === undefined ? this.openUntilMs : undefined;
     }
@@ -38,14 +39,17 @@
         return this.probeId === undefined && nowMs >= this.openUntilMs;
     }
 
-    /** Notes a start; while open it is the probe. */
+    /** Records the start of a request. While the circuit is open, this request is the probe. */
     public observeStart(id: string): void {
         if (this.openUntilMs !== undefined) {
             this.probeId = id;
         }
     }
 
-    /** The target gave its first output: work may flow, but only a completed request clears the count of failures. */
+    /**
+     * The target produced its first output: work may be sent again, but only a completed request resets the failure
+     * count.
+     */
     public observeFirstOutput(): void {
         this.openUntilMs = undefined;
         this.probeId = undefined;
@@ -57,18 +61,18 @@
         this.observeFirstOutput();
     }
 
-    /** A request ended without telling anything of the target, such as a cancelled one. */
+    /** A request ended without information about the target's health, for example because it was cancelled. */
     public observeNeutralEnd(id: string): void {
         if (this.probeId === id) {
             this.probeId = undefined;
         }
     }
 
-    /** A request failed at the target; true when this opened the circuit. */
+    /** Records a request that failed at the target. Returns true if the failure opened the circuit. */
     public observeFailure(id: string, nowMs: number): boolean {
         this.failures += 1;
         const wasOpen = this.openUntilMs !== undefined;
-        // Failures of requests that were under way when the circuit opened must not lengthen the pause.
+        // Failures of requests that were already running when the circuit opened must not extend the pause.
         if ((wasOpen && this.probeId !== id) || this.failures < failuresToOpen) {
             return false;
         }
--- a/src/decisions/health/firstOutputBaseline.ts
+++ b/src/decisions/health/firstOutputBaseline.ts
@@ -1,38 +1,41 @@
-/** Samples before the baseline judges anything. */
+/** Samples required before delays are rated. */
 export const baselineSamples = 8;
-/** Times the expected delay from which a first output is slow. */
+/** A first output counts as slow if it takes longer than this multiple of the expected delay. */
 export const slowRatio = 4;
-/** Times the expected delay from which it is a sign of a cold start. */
+/** A first output indicates a cold start if it takes longer than this multiple of the expected delay. */
 export const coldRatio = 10;
 
-/** Prompt tokens that take as long as what every request takes, whatever its size. */
+/** Fixed cost of a request, expressed as the number of prompt tokens that take the same time. */
 const fixedPartTokens = 200;
 const leastSlowMs = 500;
 const leastColdMs = 2_000;
 const smoothing = 0.02;
-/** One sample counts as no more than so many times what was expected. */
+/** A sample is limited to this multiple of the expected value. */
 const largestSampleRatio = 2;
 const falseAlarmRatio = 1.5;
 
-/** How a first output compares with what the target usually does. */
+/** How the delay of a first output compares with the target's usual delay. */
 export type FirstOutputJudgement = "usual" | "slow" | "cold";
 
 /**
- * The usual time to a target's first output for one class of work: an exponentially weighted mean per prompt size,
- * as an engine works through the prompt before it gives the first token. Without the size, one long prompt among
- * short ones would look like a slow target.
+ * The usual time to a target's first output for one class of work: an exponentially weighted mean per prompt token,
+ * since an engine processes the prompt before it generates the first token. Without the prompt size, one long prompt
+ * among short ones would make the target appear slow.
  *
- * Load pattern: a target that loses its cache or reloads weights without a word. Its load report lags, but its first
- * output is late at once. Batching alone moves the first output by two or three times, hence the ratio of four for slow;
- * a weight load takes seconds, hence ten times and never under two seconds for cold. A late sample
- * moves the mean by two in a hundred at most: with five in a hundred and no limit, two outputs five times late had
- * already become the usual in a test. A lasting fourfold slowdown is accepted after about seventy requests.
+ * Load pattern: a target loses its cache or reloads weights without reporting it. Its load report lags, but its first
+ * output is late at once. Batching alone delays the first output by a factor of two or three, hence the ratio of four
+ * for slow. A weight load takes seconds, hence the ratio of ten for cold, with a minimum of two seconds. A late sample
+ * moves the mean by two in a hundred at most: with five in a hundred and no limit, two outputs that were five times
+ * late were already accepted as usual. A lasting fourfold slowdown is accepted after about seventy requests.
  */
 export class FirstOutputBaseline {
     private msPerToken = 0;
     private samples = 0;
 
-    /** Delay from which a first output is a sign of cold; undefined before enough samples. */
+    /**
+     * Delay from which a first output indicates a cold start, in milliseconds; undefined before there are enough
+     * samples.
+     */
     public getColdAfterMs(promptTokens: number): number | undefined {
         return this.samples < baselineSamples
             ? undefined
@@ -58,7 +61,7 @@
         this.msPerToken += (msPerToken - this.msPerToken) * Math.max(smoothing, 1 / this.samples);
     }
 
-    /** The target was taken for cold and was not: such delays are more usual than was thought. */
+    /** The target was treated as cold but was not, so the expected delay is raised. */
     public recordFalseAlarm(): void {
         this.msPerToken *= falseAlarmRatio;
     }
--- a/src/decisions/health/lapsePolicy.ts
+++ b/src/decisions/health/lapsePolicy.ts
@@ -1,59 +1,67 @@
-/** What a router knows of the platform's store when it reads that a target's record is gone; monotonic times, milliseconds. */
+/**
+ * State of a router's connection to the platform's store at the moment the router reads that a target's record was
+ * removed. Monotonic times in milliseconds.
+ */
 export interface StoreContact {
-    /** What was acknowledged before had been read; the removal had not. Undefined: nothing had been read. */
+    /**
+     * All changes acknowledged before this time had been read, and the removal was not among them. Undefined: nothing
+     * had been read.
+     */
     readonly coveredUntilMs: number | undefined;
-    /** The last outage; undefined: none. */
+    /** The most recent outage; undefined if there was none. */
     readonly outage: StoreOutage | undefined;
 }
 
-/** A time in which the store gave a router no news for long enough that records can have lapsed. */
+/** A period without updates from the store that is long enough for records to expire. */
 export interface StoreOutage {
-    /** Start of the last call that was not answered: the outage ended after it. */
+    /** Start of the last call without a reply; the outage ended after this time. */
     readonly lastCallAtMs: number;
-    /** The first answer after it; undefined: it goes on. */
+    /** The first reply after the outage; undefined while the outage continues. */
     readonly answeredAtMs: number | undefined;
 }
 
-/** The bounds that a removal is under; milliseconds. */
+/** Time limits that apply to a removal, in milliseconds. */
 export interface RemovalBounds {
-    /** After the store acknowledged that a target is gone, nothing may reach it for longer than this. */
+    /** Maximum time after the store acknowledged a removal during which requests may still reach the target. */
     readonly drainMs: number;
-    /** An outage that ended so long ago excuses nothing more. */
+    /** An outage that ended longer ago than this no longer justifies keeping a target. */
     readonly contactMs: number;
-    /** For requests that are on their way. */
+    /** Allowance for requests that are in transit. */
     readonly deliveryMs: number;
 }
 
-/** What becomes of a target whose record is gone; milliseconds. */
+/** What to do with a target whose record was removed. Times in milliseconds. */
 export interface RemovalVerdict {
-    /** Until when it may get requests; monotonic. Undefined: it is gone. */
+    /** The target may receive requests until this monotonic time. Undefined: treat it as removed. */
     readonly keptUntilMs: number | undefined;
-    /** The removal was acknowledged no longer ago than this; undefined: not known. */
+    /** Upper bound of the time since the removal was acknowledged; undefined if unknown. */
     readonly viewAgeMs?: number | undefined;
-    /** How long ago the last call was begun that an outage left without an answer; undefined: no outage is known. */
+    /** Time since the start of the last call that an outage left without a reply; undefined if there was no outage. */
     readonly outageAgoMs?: number | undefined;
 }
 
-/** Decides whether a target whose record is gone may live all the same. */
+/** Decides whether a target whose record was removed may still be running. */
 export interface LapsePolicy {
     checkRemoval(nowMs: number): RemovalVerdict;
 }
 
-/** Takes every removal for a departure. */
+/** Treats every removal as a departure of the target. */
 export class NoLapses implements LapsePolicy {
     public checkRemoval(): RemovalVerdict {
         return { keptUntilMs: undefined };
     }
 }
 
-/** Records of targets that live are back so long after the store's return, at the latest. */
+/** Maximum time after the store's recovery until the records of running targets reappear, in milliseconds. */
 const returnMs = 2_300;
 
 /**
- * Keeps targets for the time in which records that lapsed during an outage come back: dropped at once, a whole service would be
- * without targets. A departure that was acknowledged looks the same, so that it is kept no longer than a departure may be: the
- * store cannot have acknowledged it before what had been read; and what was acknowledged during the outage, or before it, binds
- * from the time at which the outage excuses nothing more.
+ * Keeps targets during the time in which records that expired in an outage reappear. If such targets were dropped at
+ * once, a whole service could be left without targets.
+ *
+ * An acknowledged departure looks the same, so a target is kept no longer than is allowed for a departure. The store
+ * cannot have acknowledged the departure before the last changes that were read; a departure acknowledged during the
+ * outage or before it takes effect when the outage no longer justifies keeping the target.
  */
 export class BoundedLapses implements LapsePolicy {
     public constructor(
--- a/src/decisions/health/targetAvailability.ts
+++ b/src/decisions/health/targetAvailability.ts
@@ -1,10 +1,10 @@
 import { TargetPause } from "./targetPause.js";
 
-/** Where a router learnt that a target is leaving. */
+/** The source from which a router learned that a target is leaving. */
 export type LeavingSource =
     /** The target's record in the platform's store. */
     | "record"
-    /** One of the target's answers to this router. */
+    /** One of the target's responses to this router. */
     | "answer"
     /** Another router's state. */
     | "peer";
@@ -17,22 +17,22 @@
 }
 
 /**
- * Joins what a router learns about whether one incarnation of a target takes requests.
+ * Combines what a router has received about whether one incarnation of a target accepts requests.
  *
- * Each source may be late or unreachable: the platform's store can be away while targets leave, and come back from an older copy.
- * Evidence is never withdrawn, so that the order in which it comes does not matter.
+ * Each source may be late or unreachable: the platform's store can be unavailable while targets leave, and recover from
+ * an older copy. Evidence is never withdrawn, so the order in which it arrives does not matter.
  */
 export class TargetAvailability {
-    /** The time for which it wants no requests of this router. */
+    /** The pause that the target requested from this router. */
     public readonly pause = new TargetPause();
     private evidence: LeavingEvidence | undefined;
 
-    /** The first evidence that it is leaving; undefined: none. */
+    /** The first evidence that the target is leaving; undefined if there is none. */
     public get leaving(): LeavingEvidence | undefined {
         return this.evidence;
     }
 
-    /** Takes evidence that it is leaving; false: that was known. */
+    /** Records evidence that the target is leaving. Returns false if there was evidence already. */
     public recordLeaving(evidence: LeavingEvidence): boolean {
         if (this.evidence !== undefined) {
             return false;
@@ -41,12 +41,12 @@
         return true;
     }
 
-    /** Whether it wants no requests at all now. */
+    /** Whether the target is leaving or in a pause. */
     public isClosed(nowMs: number): boolean {
         return this.evidence !== undefined || this.pause.computeLeftMs(nowMs) > 0;
     }
 
-    /** Whether a request may be sent now. */
+    /** Whether a request may be sent to the target now. */
     public canTake(nowMs: number): boolean {
         return this.evidence === undefined && this.pause.canStart(nowMs);
     }
--- a/src/decisions/health/targetPause.ts
+++ b/src/decisions/health/targetPause.ts
@@ -1,18 +1,23 @@
-/** After a pause sends begin with one, and grow with the answers, for this long; milliseconds. */
+/**
+ * Duration of the slow start after a pause, in milliseconds: it begins with a single send, and responses allow more.
+ */
 const rampMs = 1_000;
 const firstSends = 1;
-/** Further sends for each answer: all that waited for the end of the pause would overload the target again at once. */
+/**
+ * Additional sends for each response. If all queued requests were sent at the end of the pause, they would overload the
+ * target again at once.
+ */
 const sendsPerAnswer = 2;
 
-/** A time for which a target wants no requests of this router, and the slow start behind it. */
+/** A pause that a target requested from this router, and the slow start after it. */
 export class TargetPause {
     private untilMs = Number.NEGATIVE_INFINITY;
     private sends = 0;
     private answers = 0;
 
     /**
-     * Takes the target's wish; false: it wanted nothing for longer already. A shorter wish does not end a longer one: an answer
-     * may have been on its way for longer than another.
+     * Records a requested pause. Returns false if the current pause ends later or at the same time. A shorter pause
+     * does not end a longer one, because responses may arrive out of order.
      */
     public record(waitMs: number, nowMs: number): boolean {
         if (waitMs <= 0 || nowMs + waitMs <= this.untilMs) {
@@ -24,7 +29,7 @@
         return true;
     }
 
-    /** Time until its end; milliseconds, 0 without one. */
+    /** Time until the end of the pause in milliseconds; 0 if there is none. */
     public computeLeftMs(nowMs: number): number {
         return Math.max(0, this.untilMs - nowMs);
     }
@@ -37,7 +42,7 @@
         return nowMs >= this.untilMs + rampMs || this.sends < firstSends + this.answers * sendsPerAnswer;
     }
 
-    /** When {@link canStart} next changes by time alone; undefined: it does not. */
+    /** Time at which {@link canStart} next changes without further sends or responses; undefined if it does not. */
     public findNextChangeAtMs(nowMs: number): number | undefined {
         return [this.untilMs, this.untilMs + rampMs].find(atMs => atMs > nowMs);
     }
@@ -46,7 +51,7 @@
         this.sends += 1;
     }
 
-    /** The target took a request. */
+    /** Records that the target accepted a request. */
     public recordAnswer(): void {
         this.answers += 1;
     }
--- a/src/decisions/limits/coldLimit.ts
+++ b/src/decisions/limits/coldLimit.ts
@@ -1,44 +1,52 @@
 /**
- * How much of a cold target's small capacity this router may use.
+ * Limits how much of a cold target's small capacity this router may use.
  *
- * Load pattern: a zone's targets come back together and everybody's backlog runs to them; a cold target crashes well above
- * its rate, and all that was sent there is lost. Routers can't ask one another before each request, so each takes a fixed
- * part: a few routers, the same in everybody's view (rendezvous over target and router), share a target's rate, and the
- * others send it nothing. Views of who is there differ for seconds after a start or a cut; a router that knows fewer
- * peers than there are would take too much, so it divides by no fewer than `leastSharers` and stays out of cold
- * targets for as long as it has no message of peers (see `isSettled`).
- * Threshold: three quarters of the rate that the target bears, in any second, since requests are counted when they arrive
- * and two that were sent in different seconds may arrive in one.
+ * Load pattern: the targets of a zone restart together, and all routers send their backlog to them. A cold target
+ * crashes when it receives well above its rate, and everything sent to it is lost. Routers cannot coordinate before
+ * each request, so each uses a fixed part: a few routers, selected identically by all of them (rendezvous hashing over
+ * target and router), share a target's rate, and the others send nothing to it. The sets of live routers differ for
+ * seconds after a start or a network partition. A router that has received messages from too few peers would take too
+ * much, so it divides the rate by at least `leastSharers`, and sends nothing to cold targets until it has had time to
+ * receive its peers' messages (see `isSettled`).
+ *
+ * Threshold: three quarters of the rate that the target can handle, in any second, because requests are counted when
+ * they arrive, and two requests sent in different seconds may arrive in the same one.
  */
 import { hashFast, mixHashes } from "../../base/hash.js";
 import { SlidingCount } from "../structures/slidingCount.js";
 
-/** Routers that share a cold target when there are so many; each then gets some whole requests a second of a usual rate. */
+/**
+ * Maximum number of routers that share a cold target, so that each may send several requests per second at a usual
+ * rate.
+ */
 const mostSharers = 4;
 const leastSharers = 2;
 const usedShare = 0.75;
-/** The bound is on sliding seconds; the margin covers requests that were delayed on their way. */
+/**
+ * The limit applies to sliding seconds; the window in milliseconds is longer to allow for requests that are delayed in
+ * transit.
+ */
 const spanMs = 1_150;
 
-/** What a cold target bears. */
+/** The load that a cold target can handle. */
 export interface ColdRate {
     readonly requestsPerSecond: number;
     readonly overage: number;
     readonly slack: number;
 }
 
-/** The routers as this one knows them. */
+/** The routers of the fleet as far as this router has received messages from them. */
 export interface RouterView {
     readonly ownId: string;
-    /** Live routers, this one included. */
+    /** Ids of the live routers, including this one. */
     readonly routerIds: readonly string[];
-    /** Routers that should be there and have sent no message. */
+    /** Number of expected routers that have not sent a message yet. */
     readonly unheard: number;
-    /** Whether this router has had time to receive messages of its peers. */
+    /** Whether this router has had time to receive messages from its peers. */
     readonly isSettled: boolean;
 }
 
-/** Requests that this router may send to the target in any second. */
+/** Requests that this router may send to the cold target in any second. */
 export function computeColdShare(targetId: string, rate: ColdRate, view: RouterView): number {
     if (!view.isSettled) {
         return 0;
@@ -55,11 +63,11 @@
     return Math.floor((bearable * usedShare) / sharers);
 }
 
-/** Keeps this router's sends to one cold target within its share. */
+/** Limits this router's sends to one cold target to its share. */
 export class ColdLimiter {
     private readonly sent = new SlidingCount(spanMs);
 
-    /** Counts every send, also while warm, since the target may turn cold within the second. */
+    /** Counts every send, also while the target is warm, because it may turn cold within the same second. */
     public recordSend(nowMs: number): void {
         this.sent.add(nowMs);
     }
--- a/src/decisions/limits/concurrencyWindow.ts
+++ b/src/decisions/limits/concurrencyWindow.ts
@@ -1,50 +1,53 @@
 import { FirstOutputBaseline } from "../health/firstOutputBaseline.js";
 
-/** A "not cold" report counts only this long after the last sign of cold, as reports lag; milliseconds. */
+/**
+ * A "not cold" report is ignored for this long after the last sign of a cold start, because reports lag; milliseconds.
+ */
 export const reportLagMs = 2_000;
-/** "Not cold" reports in a row that end a cold start. */
+/** Consecutive "not cold" reports that end a cold start. */
 export const warmReportsNeeded = 2;
-/** Without reports, completed requests per slot of the cold limit that end a cold start. */
+/** Completed requests per slot of the cold limit that end a cold start if the target sends no reports. */
 export const warmSuccessesPerSlot = 2;
 
 const reportsStaleAfterMs = 10_000;
 const slowDecrease = 0.8;
 const slowDecreaseEveryMs = 1_000;
-/** Slow first outputs in a row before the window shrinks: one or two happen on any target. */
+/** Consecutive slow first outputs before the window shrinks; one or two occur on any target. */
 const slowInRow = 3;
 
-/** A request's first token or response head. */
+/** Delay and context of a request's first token or response head. */
 export interface FirstOutput {
     readonly workClass: "short" | "long";
     readonly promptTokens: number;
     readonly delayMs: number;
-    /** Requests that run now, this one included. */
+    /** Number of running requests, including this one. */
     readonly running: number;
 }
 
-/** What a target bears, from the environment's document. */
+/** Concurrency limits of a target, from the environment's document. */
 export interface WindowLimits {
     readonly maxConcurrent: number;
     readonly coldLimit: number;
 }
 
-/** What the window did, for the time line. */
+/** Change of the window, for the timeline. */
 export type WindowChange = "cold" | "warm" | "grown" | "slowed" | "limits";
 
 /**
- * How many requests one target may run at once.
+ * Limits how many requests one target may run at once.
  *
- * Load patterns: a cold start, a target that turns cold without warning, and a slow one. A cold engine that gets a
- * full load falls over, loses what it runs, and starts cold anew: the fleet would knock it down for ever. The window
- * starts at the cold limit and leaves it only on evidence younger than the last sign of cold: two reports at least
- * {@link reportLagMs} after it (engines publish about once a second, so older ones may describe the time before), or,
- * from targets that publish none, two completed requests for each cold slot. It then grows by one for each first
- * output, which doubles it in each round as TCP's slow start does, and only while it is at least half used.
+ * Load patterns: a cold start, a target that turns cold without notice, and a slow target. A cold engine under full
+ * load crashes, loses the requests it runs, and starts cold again, so the fleet would keep it down permanently. The
+ * window starts at the cold limit and leaves it only on evidence that is newer than the last sign of a cold start: two
+ * reports at least {@link reportLagMs} after it (engines publish about once per second, so older reports may describe
+ * the time before) or, for targets that publish none, two completed requests for each cold slot. It then grows by one
+ * for each first output, which doubles it in each round as in TCP slow start, and only while at least half of it is in
+ * use.
  *
- * Signs of cold: a report, a refusal by the target, a lost connection, and a first output so late that the baseline of
- * the same class is left far behind (see {@link FirstOutputBaseline}). Three first outputs in a row
- * that are merely slow take a fifth off the window, once a second at most: a target that has become slow gains nothing
- * from a longer queue inside, and what waits at the agent can still be moved elsewhere.
+ * Signs of a cold start are a report, a refusal by the target, a lost connection, and a first output that is far later
+ * than the baseline of the same class (see {@link FirstOutputBaseline}). Three consecutive first outputs that are
+ * merely slow reduce the window by a fifth, at most once per second: a target that has become slow gains nothing from a
+ * longer internal queue, and requests queued at the agent can still be moved elsewhere.
  */
 export class ConcurrencyWindow {
     private readonly baselines = { short: new FirstOutputBaseline(), long: new FirstOutputBaseline() };
@@ -55,12 +58,12 @@
     private warmReports = 0;
     private successesSinceCold = 0;
     private lastReportAtMs: number | undefined;
-    /** Whether nothing but a late first output speaks for the present cold start. */
+    /** Whether a late first output is the only evidence for the current cold start. */
     private isSuspicionOnly = false;
     private slowCount = 0;
     private lastDecreaseAtMs = Number.NEGATIVE_INFINITY;
 
-    /** Requests that may run at once now. */
+    /** Maximum number of requests that may run at once now. */
     public get limit(): number {
         return this.currentLimit;
     }
@@ -69,7 +72,7 @@
         return this.cold;
     }
 
-    /** Takes new limits from the document; true when the limit changed. */
+    /** Applies limits from the document. Returns true if the current limit changed. */
     public setLimits(limits: WindowLimits, nowMs: number): boolean {
         this.coldSinceMs ??= nowMs;
         this.limits = limits;
@@ -79,7 +82,7 @@
         return this.currentLimit !== before;
     }
 
-    /** The target's own report. */
+    /** Applies the target's own report. */
     public observeReport(cold: boolean, nowMs: number): WindowChange | undefined {
         this.lastReportAtMs = nowMs;
         if (cold) {
@@ -92,7 +95,7 @@
         return this.warmReports < warmReportsNeeded ? undefined : this.setWarm();
     }
 
-    /** A first output is overdue: falls to the cold limit on this suspicion. */
+    /** A first output is overdue: falls back to the cold limit on suspicion. */
     public observeLateOutput(nowMs: number): WindowChange | undefined {
         const isSuspicionOnly = !this.cold || this.isSuspicionOnly;
         const change = this.observeColdSign(nowMs);
@@ -100,7 +103,7 @@
         return change;
     }
 
-    /** A sign that the target is cold: falls to the cold limit at once. */
+    /** The target shows a sign of a cold start: falls back to the cold limit at once. */
     public observeColdSign(nowMs: number): WindowChange | undefined {
         this.isSuspicionOnly = false;
         const changed = !this.cold || this.currentLimit > this.limits.coldLimit;
@@ -113,7 +116,7 @@
     }
 
     public observeFirstOutput(output: FirstOutput, nowMs: number): WindowChange | undefined {
-        // What a cold target takes is no measure of what is usual.
+        // Delays of a cold target must not influence the baseline.
         if (this.cold) {
             return undefined;
         }
@@ -135,7 +138,7 @@
         return "grown";
     }
 
-    /** A request that completed whole. */
+    /** Records a request that completed. */
     public observeSuccess(nowMs: number): WindowChange | undefined {
         if (!this.cold) {
             return undefined;
@@ -148,14 +151,18 @@
         return this.setWarm();
     }
 
-    /** When a request that has given nothing yet counts as a sign of cold; undefined while no baseline is known. */
+    /**
+     * Delay in milliseconds from which a request without output counts as a sign of a cold start; undefined without a
+     * baseline.
+     */
     public getLateAfterMs(workClass: "short" | "long", promptTokens: number): number | undefined {
         return this.baselines[workClass].getColdAfterMs(promptTokens);
     }
 
     /**
-     * Ends the cold start. When nothing but lateness spoke for it, the target was probably just busy: without the
-     * correction a target whose first outputs are late at full load would fall to its cold limit every few seconds.
+     * Ends the cold start. If lateness was the only evidence, the target was probably just busy: without the
+     * correction, a target whose first outputs are late at full load would fall back to its cold limit every few
+     * seconds.
      */
     private setWarm(): WindowChange {
         if (this.isSuspicionOnly) {
--- a/src/decisions/quarantine/crashLedger.ts
+++ b/src/decisions/quarantine/crashLedger.ts
@@ -1,70 +1,73 @@
 /**
- * Which requests end the targets that run them (queries of death), by the crashes seen under them.
+ * Identifies requests that crash the targets that run them (queries of death), based on the crashes that occurred
+ * during their runs.
  *
- * Load pattern: a request crashes each target that runs it, and its caller sends it again with new ids, to any router. Bounded by
- * attempts for each id alone, one such request takes down a fleet, and all streams with it.
+ * Load pattern: a request crashes each target that runs it, and its caller sends it again with new ids, to any router.
+ * If only the attempts per id were limited, one such request would take down a fleet and all its streams.
  *
- * Evidence is a set of target incarnations that ended while they ran the request; sets merge by union, so that reports may be lost,
- * repeated and reordered. What ran beside such a request on a target that ended looks the same, so that a request is held only
- * after several incarnations, a run that had given output before counts less, and a whole answer clears it.
+ * Evidence is a set of target incarnations that ended while they ran the request. Sets are merged by union, so reports
+ * may be lost, repeated and reordered. Requests that were running beside the crashing one when the target ended look
+ * the same. A request is therefore held only after several incarnations, a run that had produced output counts less,
+ * and a complete response clears the request.
  */
 import { LRUCache } from "lru-cache";
 
-/** One incarnation of a target that ended under a request. */
+/** One incarnation of a target that ended while it ran a request. */
 export interface CrashEvidence {
-    /** Of account, method, path and body. */
+    /** Digest of account, method, path and body. */
     readonly digest: string;
-    /** 32-bit hash of account, method and path: tells whether a digest is worth computing. */
+    /** 32-bit hash of account, method and path; shows whether a digest is worth computing. */
     readonly prefixHash: number;
     /** 32-bit hash of the target's incarnation. */
     readonly incarnation: number;
-    /** How much it speaks against the request, above 0 to 1. */
+    /** Weight of the evidence against the request, above 0 to 1. */
     readonly weight: number;
 }
 
-/** How a request stands. */
+/** The status of a request with respect to target crashes. */
 export type RequestStanding =
-    /** Nothing speaks against it. */
+    /** There is not enough evidence against it. */
     | "clear"
-    /** A target ended under it; each router runs it once at a time. */
+    /** A target ended while it ran the request; each router runs it only once at a time. */
     | "suspect"
-    /** One further crash would hold it; one router runs it, once at a time. */
+    /** One more crash would cause a hold; a single router runs it, only once at a time. */
     | "strong-suspect"
-    /** It ended several targets; nobody runs it. */
+    /** Several targets ended while they ran the request; no router runs it. */
     | "held"
-    /** It was held long enough to be tried once, at one place. */
+    /** The hold has expired; it may be tried once, by a single router. */
     | "probe";
 
-/** A request that is held, for operators and for the platform's store. */
+/** A held request, for operators and for the platform's store. */
 export interface HeldRequest {
     readonly digest: string;
     readonly prefixHash: number;
     readonly incarnations: readonly number[];
-    /** Time until it may be tried again, and how long it was held for; milliseconds. */
+    /** `leftMs`: time until the request may be tried again; `holdMs`: total duration of the hold. Milliseconds. */
     readonly leftMs: number;
     readonly holdMs: number;
 }
 
-/** Weight of a run without output, and of one that had given some. */
+/** Weights of a run without output and of a run that had produced some output. */
 export const freshRunWeight = 1;
 export const provenRunWeight = 0.5;
 /**
- * Evidence from which on a request is held. Every two held requests of the same account, method and path lower it by one: an account
- * that sends many different such requests would otherwise end three targets with each of them.
+ * Evidence from which a request is held. Every two held requests of the same account, method and path lower this
+ * threshold by one: an account that sends many different such requests would otherwise end three targets with each of
+ * them.
  */
 const heldFrom = 3;
 const leastHeldFrom = 1;
 const heldToLower = 2;
 const suspectFrom = 1;
 const strongSuspectMargin = 1;
-/** A trial may cost a target and all its streams, so that it comes rarely. */
+/** Duration of the first hold in milliseconds. A trial may end a target and all its streams, so trials are rare. */
 const firstHoldMs = 600_000;
 const longestHoldMs = 21_600_000;
-/** Evidence that is not followed by more is forgotten. */
+/** Evidence expires after this time in milliseconds if no more is recorded. */
 const evidenceTtlMs = 3_600_000;
-/** Requests that are remembered; beyond it the ones that were seen least lately are forgotten. */
+/** Maximum number of requests with evidence; the least recently used ones are evicted. */
 const mostRequests = 2_000;
-/** A cleared request ignores evidence that was reported before it was cleared for so long. */
+/** Evidence against a cleared request from incarnations recorded before is ignored for this long, in milliseconds. */
 const tombstoneMs = 5_000;
 
 interface Entry {
@@ -80,7 +83,7 @@
     readonly untilMs: number;
 }
 
-/** Keeps evidence, and decides who is held. */
+/** Stores crash evidence and decides which requests are held. */
 export class CrashLedger {
     private readonly entries = new LRUCache<string, Entry>({
         max: mostRequests,
@@ -89,12 +92,12 @@
     private readonly prefixes = new Map<number, number>();
     private readonly tombstones = new LRUCache<string, Tombstone>({ max: mostRequests });
 
-    /** Whether anything is known of a request with this prefix. */
+    /** Whether there is evidence against any request with this prefix. */
     public hasPrefix(prefixHash: number): boolean {
         return this.prefixes.has(prefixHash);
     }
 
-    /** Adds evidence; true if the request is held because of it. */
+    /** Adds evidence. Returns true if it caused the request to be held. */
     public record(evidence: CrashEvidence, nowMs: number): boolean {
         const { digest, incarnation, weight } = evidence;
         if (this.isVoid(digest, incarnation, nowMs)) {
@@ -131,7 +134,10 @@
         return score + strongSuspectMargin < this.computeHeldFrom(entry, nowMs) ? "suspect" : "strong-suspect";
     }
 
-    /** The request was answered as a whole, or an operator released it. False: nothing was known of it. */
+    /**
+     * Clears a request after a complete response or a release by an operator. Returns false if there was no evidence
+     * against it.
+     */
     public remove(digest: string, nowMs: number): boolean {
         const entry = this.entries.peek(digest);
         if (entry === undefined) {
@@ -142,7 +148,7 @@
         return true;
     }
 
-    /** Takes a request that was held before this process started. */
+    /** Restores a request that was held before this process started. */
     public applyStored({ digest, prefixHash, incarnations, leftMs, holdMs }: HeldRequest, nowMs: number): void {
         for (const incarnation of incarnations) {
             this.record({ digest, prefixHash, incarnation, weight: freshRunWeight }, nowMs);
@@ -154,14 +160,14 @@
         }
     }
 
-    /** Requests that are held or wait for a probe. */
+    /** Requests that are held or waiting for a probe. */
     public listHeld(nowMs: number): readonly HeldRequest[] {
         return [...this.entries.entries()]
             .filter(([, entry]) => entry.heldUntilMs > 0)
             .map(([digest, entry]) => createHeld(digest, entry, nowMs));
     }
 
-    /** The request if it is held or waits for a probe. */
+    /** The request, if it is held or waiting for a probe. */
     public findHeld(digest: string, nowMs: number): HeldRequest | undefined {
         const entry = this.findEntry(digest, nowMs);
         return entry === undefined || entry.heldUntilMs === 0 ? undefined : createHeld(digest, entry, nowMs);
--- a/src/decisions/retries/backoff.ts
+++ b/src/decisions/retries/backoff.ts
@@ -1,17 +1,18 @@
 /**
- * How long to wait before a retry: exponential with full jitter (AWS Architecture Blog, 2015).
+ * Computes the delay before a retry: exponential backoff with full jitter (AWS Architecture Blog, 2015).
  *
- * Load pattern: many requests fail at one moment (a target or a data centre goes). Without jitter they all come back at
- * one moment too, and the next target fails under the wave.
- * Thresholds: the first retry within 50 ms, as a single lost target has healthy neighbours; never more than 2 s, as the
- * caller's deadline runs on.
+ * Load pattern: many requests fail at the same moment because a target or a data centre fails. Without jitter they
+ * would all be sent again at the same moment, and the next target would fail under the burst.
+ *
+ * Thresholds: the first retry is sent within 50 ms, because a single lost target has healthy neighbours; the delay
+ * never exceeds 2 s, because the caller's deadline is running.
  */
 import type { Random } from "../../base/random.js";
 
 const baseMs = 50;
 const maxMs = 2_000;
 
-/** Delay before retry number `retry` (1 for the first); milliseconds. */
+/** Delay in milliseconds before retry number `retry`, which is 1 for the first. */
 export function computeBackoffMs(retry: number, random: Random): number {
     return random.next() * Math.min(maxMs, baseMs * 2 ** (retry - 1));
 }
--- a/src/decisions/retries/retryBudget.ts
+++ b/src/decisions/retries/retryBudget.ts
@@ -1,17 +1,19 @@
 import type { RouterView } from "../limits/coldLimit.js";
 /**
- * Retry budget: retries as a share of first tries over the last ten seconds, per account and over the router.
+ * Retry budget: limits retries to a fraction of the first attempts over the last ten seconds, per account and for the
+ * whole router.
  *
- * Load pattern: an outage that makes much fail at once. Without it every failure is tried up to four times, which turns a
- * fault into four times the load just when there is least capacity (a retry storm), and one account's failing calls
- * use up everyone's retries.
- * Thresholds: the ratio comes from the document; ten seconds span several failure detections; a floor of three retries
- * (ten over the router) lets a quiet account retry at all.
+ * Load pattern: an outage makes many requests fail at once. Without a budget, every failed request would be sent up to
+ * four times, which turns a fault into four times the load when there is least capacity (a retry storm), and one
+ * account's failing calls would use up the retries of all accounts.
+ *
+ * Thresholds: the ratio is set in the document; ten seconds cover several failure detections; a floor of three retries
+ * (ten for the whole router) lets an account with little traffic retry at all.
  */
 const bucketCount = 10;
 const defaultWindowMs = 10_000;
 
-/** Retries that are granted however few first tries there were. */
+/** Retries that are granted regardless of the number of first attempts. */
 export interface RetryFloors {
     readonly perAccount: number;
     readonly perRouter: number;
@@ -19,12 +21,12 @@
 
 const defaultFloors: RetryFloors = { perAccount: 3, perRouter: 10 };
 
-/** Counts tries and retries; grants a retry while within the ratio. */
+/** Counts first attempts and retries, and grants a retry while the ratio allows it. */
 export class RetryBudget {
     private readonly all: TryWindow;
     private readonly byAccount = new Map<string, TryWindow>();
 
-    /** `windowMs`: span over which tries and retries are compared. */
+    /** `windowMs`: window over which first attempts and retries are counted, in milliseconds. */
     public constructor(
         private floors: RetryFloors = defaultFloors,
         private readonly windowMs = defaultWindowMs,
@@ -32,18 +34,17 @@
         this.all = new TryWindow(windowMs);
     }
 
-    /** Where routers share a budget, each one's floor depends on how many there are. */
+    /** Updates the floors. Where routers share a budget, each router's floor depends on the number of routers. */
     public setFloors(floors: RetryFloors): void {
         this.floors = floors;
     }
 
-    /** Counts a first try. */
     public recordFirstTry(clientAccount: string, nowMs: number): void {
         this.all.add(nowMs, "first");
         this.getWindow(clientAccount).add(nowMs, "first");
     }
 
-    /** Takes one retry out of the budget; false when there is none left. */
+    /** Takes one retry from the budget. Returns false if the budget is used up. */
     public takeRetry(clientAccount: string, ratio: number, nowMs: number): boolean {
         const own = this.getWindow(clientAccount);
         const { perAccount, perRouter } = this.floors;
@@ -65,7 +66,7 @@
     }
 }
 
-/** Sliding counts in tenths of the window. */
+/** Sliding counts, in buckets of a tenth of the window. */
 class TryWindow {
     private readonly firsts = new Array<number>(bucketCount).fill(0);
     private readonly retries = new Array<number>(bucketCount).fill(0);
@@ -109,10 +110,13 @@
     }
 }
 
-/** Part of the fleet's slack for repeats that the routers hand out; the rest covers views of the fleet that differ. */
+/**
+ * Fraction of the fleet's retry slack that is divided among the routers; the rest allows for routers that count
+ * different numbers of peers.
+ */
 const usedSlack = 0.6;
 
-/** One router's part of what the fleet may send once more beyond the ratio. */
+/** This router's part of the retries that the fleet may send beyond the ratio. */
 export function computeRetryFloors(slack: number, { routerIds, unheard }: RouterView): RetryFloors {
     const perRouter = (slack * usedSlack) / (routerIds.length + unheard);
     return { perAccount: perRouter, perRouter };
--- a/src/decisions/retries/retryPolicy.ts
+++ b/src/decisions/retries/retryPolicy.ts
@@ -1,25 +1,26 @@
 /**
- * Whether a failed attempt may be sent again at all.
+ * Decides whether a failed attempt may be retried at all.
  *
- * Load pattern: lost connections and failing targets. Without it a pickup confirmation whose answer was lost is booked
- * twice. A retry is safe when the work does no harm twice, or when an authority said that it never ran; everything else
- * ends with the honest answer "unknown".
- * Threshold: four attempts; with independent failures of 10 % of the targets one in ten thousand requests would need
- * more, and more only prolongs a failure that is not independent.
+ * Load pattern: lost connections and failing targets. Without this policy, a pickup confirmation whose response was
+ * lost would be booked twice. A retry is safe if the work is idempotent, or if an authority reported that it was not
+ * executed; all other requests end with the outcome "unknown".
+ *
+ * Threshold: four attempts. If attempts fail independently at 10 % of the targets, one in ten thousand requests needs
+ * more, and for failures that are not independent further attempts only prolong the failure.
  */
 const maxAttempts = 4;
 
-/** One attempt that did not end in an answer. */
+/** One attempt that ended without a response. */
 export interface FailedAttempt {
     readonly idempotent: boolean;
     readonly execution: "not-run" | "unknown" | "ran";
-    /** Number of the attempt, from 1. */
+    /** Number of the attempt, starting at 1. */
     readonly attempt: number;
-    /** Whether only one agent may run the request. */
+    /** Whether only one agent, the key owner, may run the request. */
     readonly boundToHome: boolean;
 }
 
-/** Whether the policy allows another attempt; the budget is asked separately. */
+/** Whether the policy allows another attempt; the retry budget is checked separately. */
 export function canRetry(failed: FailedAttempt): boolean {
     if (failed.boundToHome || failed.attempt >= maxAttempts) {
         return false;
--- a/src/decisions/rollouts/exposureBudget.ts
+++ b/src/decisions/rollouts/exposureBudget.ts
@@ -1,22 +1,25 @@
 /**
- * How many requests one router may send to a version that is not known to be sound.
+ * Limits how many requests one router may send to a version that has not been shown to be sound.
  *
- * Each router goes by its own requests alone. The sum over all routers then stays below the same part of all requests, whoever
- * joins, ends, freezes, is cut off or sees old news, without a message between them.
+ * Each router uses only the number of its own requests. The sum over all routers then stays below the same fraction of
+ * all requests, regardless of which routers start, stop, freeze, are partitioned or use stale state, and without
+ * messages between them.
  */
 
-/** Part of the exposure that may be given away; the rest covers requests whose sends never arrive. */
+/** Fraction of the exposure share that is used; the rest allows for requests that are sent but never arrive. */
 const usedShare = 0.8;
-/** Part of the slack that the routers divide between them; the rest covers routers that start anew with a full part. */
+/**
+ * Fraction of the slack that is divided among the routers; the rest allows for routers that restart with a full part.
+ */
 const usedSlack = 0.3;
-/** Requests saved up at most: after a pause the version must not get a burst. */
+/** Maximum credit in requests, so that the version does not receive a burst after a pause. */
 const mostCredit = 4;
 
-/** Bounds on what a version that may be bad gets. */
+/** Limits on the requests to a version that may be faulty. */
 export interface ExposureLimit {
-    /** Part of the requests for its service. */
+    /** Maximum fraction of the requests for its service. */
     readonly share: number;
-    /** Requests on top, over all routers. */
+    /** Additional requests, over all routers. */
     readonly slack: number;
 }
 
@@ -24,7 +27,7 @@
 export class ExposureBudget {
     private credit: number;
 
-    /** `routerCount`: routers that may be there, unheard ones included. */
+    /** `routerCount`: number of expected routers, including those that no message was received from. */
     public constructor(
         private readonly limit: ExposureLimit,
         routerCount: number,
@@ -32,27 +35,30 @@
         this.credit = Math.min(1, (limit.slack * usedSlack) / Math.max(1, routerCount));
     }
 
-    /** A request for the service goes to a target, of whichever version. `part`: how much of the budget is to be used, 0 to 1. */
+    /**
+     * Records a request for the service that is sent to a target of any version. `part`: fraction of the budget to use,
+     * 0 to 1.
+     */
     public recordRequest(part = 1): void {
         this.credit = Math.min(mostCredit, this.credit + this.limit.share * usedShare * part);
     }
 
-    /** Whether the version may get a request now. */
+    /** Whether the version may receive a request now. */
     public get hasRoom(): boolean {
         return this.credit >= 1;
     }
 
-    /** The version gets one. */
+    /** Records that the version receives a request. */
     public recordExposed(): void {
         this.credit -= 1;
     }
 
-    /** Whether as much is saved up as can be. */
+    /** Whether the credit is nearly at its maximum, so that the next request may be sent to the version. */
     public get isFull(): boolean {
         return this.credit >= mostCredit - 1;
     }
 
-    /** The one that was recorded did not go there. */
+    /** Reverts {@link recordExposed} for a request that was not sent to the version. */
     public recordUnsent(): void {
         this.credit = Math.min(mostCredit, this.credit + 1);
     }
--- a/src/decisions/rollouts/rolloutJudge.ts
+++ b/src/decisions/rollouts/rolloutJudge.ts
@@ -2,40 +2,43 @@
 import { noCounts, type RolloutEvidence, type RouteEvidence, type VersionCounts } from "./versionEvidence.js";
 
 /**
- * Whether the version that is rolled out is as good as the one before it.
+ * Decides whether the version being rolled out is as good as the previous one.
  *
- * Load pattern: few requests reach the new version until it is shown to be sound, and what is wrong with it may show in a part of the
- * answers, on one route or after a while. All routes together show a small rise soon; each route by itself shows a large one
- * with few requests.
+ * Load pattern: few requests reach the new version until it has been shown to be sound, and its faults may affect only
+ * a part of the responses, one route, or appear after a while. All routes together reveal a small increase early; a
+ * single route reveals a large increase with few requests.
  */
 
-/** What the evidence so far says of the version. */
+/** The assessment of the version by the evidence so far. */
 export type RolloutVerdict =
     | "bad"
-    /** Shown to be sound, with the tests' error rates. */
+    /** The version was shown to be sound, with the error rates of the tests. */
     | "good"
-    /** Nothing speaks against it, and some requests for it. */
+    /** There is no evidence against the version, and some requests for it. */
     | "likely-good"
     | "open";
 
-/** Rise of a rate over all routes that has to be found. */
+/** Increase of a rate over all routes that the test has to detect. */
 const pooledRise = 0.1;
-/** The same on one route, which has fewer requests. */
+/** Increase that the test has to detect on a single route, which has fewer requests. */
 const routeRise = 0.28;
 const slownessRise = 0.3;
-/** A sound version fails now and then, and some of its answers are slow; also one whose baseline shows none yet. */
+/**
+ * Even a sound version fails occasionally, and some of its responses are slow. These minimum rates also apply if its
+ * baseline has no such events yet.
+ */
 const leastFailureRate = 0.02;
 const leastSlowRate = 0.04;
-/** A baseline that does worse is in trouble of its own, and no measure. */
+/** A baseline with a higher rate has problems of its own and is no reference. */
 const mostBaselineRate = 0.4;
 const falseAlarmRate = 0.0005;
 const missRate = 0.05;
-/** Requests after which a version that shows no fault may count as likely good. */
+/** Minimum requests before a version without observed faults counts as likely good. */
 const leastLikelySamples = 8;
-/** A route with a smaller part of the requests is judged with all others only. */
+/** Routes with a smaller fraction of all requests are only tested together with the others. */
 const leastRoutePart = 0.03;
 
-/** Within this time routers report one crash, and know whether the target has survived; milliseconds. */
+/** Within this time in milliseconds, routers report the same crash and detect whether the target has survived it. */
 const breakSpanMs = 5_000;
 
 interface RouteTests {
@@ -43,9 +46,9 @@
     readonly slow: SequentialTest;
 }
 
-/** Judges the sum of what routers report, as it comes in. */
+/** Evaluates the sum of the routers' reports as they arrive. */
 export class RolloutJudge {
-    /** The newest report of each router's incarnation; counts in it only rise. */
+    /** The newest report of each router incarnation; the counts in it only increase. */
     private readonly reports = new Map<string, RolloutEvidence>();
     private readonly breakCountedAtMs = new Map<number, number>();
     private readonly pooled = createTests();
@@ -53,7 +56,7 @@
     private baseline = new Map<string, VersionCounts>();
     private candidate = new Map<string, VersionCounts>();
 
-    /** Takes a router's report, whole; `reporter` names its incarnation. */
+    /** Applies a router's complete report. `reporter` identifies the router's incarnation. */
     public apply(reporter: string, evidence: RolloutEvidence, nowMs: number): void {
         const before = this.reports.get(reporter);
         this.reports.set(reporter, evidence);
@@ -93,12 +96,12 @@
         return isLikely ? "likely-good" : "open";
     }
 
-    /** Requests that the version got, and how many of them failed or were slow; for people. */
+    /** Totals of both versions over all routes, for operators. */
     public get totals(): { readonly candidate: VersionCounts; readonly baseline: VersionCounts } {
         return { candidate: addAll(this.candidate), baseline: addAll(this.baseline) };
     }
 
-    /** Sums by route, for people. */
+    /** Totals by route, for operators. */
     public get routeTotals(): readonly RouteEvidence[] {
         return [...this.baseline].map(([route, baseline]) => ({
             route,
@@ -107,7 +110,7 @@
         }));
     }
 
-    /** A fault stays one also while its route has too few requests to be judged alone. */
+    /** A detected fault remains in effect even while its route has too few requests to be tested individually. */
     private get hasFaultyRoute(): boolean {
         return [...this.routes].some(([route, { failures, slow }]) => {
             const plans = this.createRoutePlans(route);
@@ -126,7 +129,10 @@
         tests.slow.observe(routePlans.slow, timed, slow);
     }
 
-    /** At most one for each target and span: a target that crashes breaks the requests of all routers, and that is one event. */
+    /**
+     * Counts at most one disconnect per target and window: a target that crashes disconnects the requests of all
+     * routers, which is a single event.
+     */
     private countNewBreaks(evidence: RolloutEvidence, before: RolloutEvidence | undefined, nowMs: number): number {
         const counted = evidence.breaks.filter(({ targetHash, breaks }) => {
             const known = before?.breaks.find(other => other.targetHash === targetHash)?.breaks ?? 0;
@@ -167,7 +173,7 @@
     return { soundRate, faultyRate: Math.min(0.98, soundRate + rise), falseAlarmRate, missRate };
 }
 
-/** The baseline's rate with some samples of the usual rate added, as it has few at first. */
+/** The baseline's rate with some samples at the usual rate added, because the baseline has few samples at first. */
 function computeRate(events: number, samples: number, usual: number): number {
     const priorSamples = 30;
     return Math.min(mostBaselineRate, Math.max(usual, (events + usual * priorSamples) / (samples + priorSamples)));
--- a/src/decisions/rollouts/rolloutPlan.ts
+++ b/src/decisions/rollouts/rolloutPlan.ts
@@ -3,64 +3,73 @@
 /**
  * The steps of a roll-out.
  *
- * Targets of the old version stop without draining when the roll-out is complete. So all requests go to the new version some time before,
- * and what runs at the old one ends first. A version may turn bad late or under load: it gets few requests for most of the time, and
- * with them the load of a single target, before it gets more.
+ * Targets of the old version stop without draining when the roll-out is complete. All requests are therefore sent to
+ * the new version some time before, and requests running at the old version can finish. A version may turn out to be
+ * faulty late or under load, so it receives few requests for most of the time, and then the load of a single target,
+ * before it receives more.
  */
 
-/** How far a roll-out is; each step sends more requests to the new version. */
+/** The step of a roll-out; later steps send more requests to the new version, except `watch`. */
 export type RolloutStep =
-    /** A few, within the exposure that a bad version may get, until they show whether it is sound. */
+    /** A few requests, within the exposure allowed for a faulty version, until they show whether it is sound. */
     | "canary"
-    /** Fewer, as a fault may show later; what is left of the exposure is for the steps that follow. */
+    /** Fewer requests, since a fault may appear late; the remaining exposure is reserved for the following steps. */
     | "watch"
-    /** A part of all. */
+    /** A fixed fraction of all requests. */
     | "ramp"
-    /** All that its targets can take. */
+    /** All requests that its targets can take. */
     | "switch";
 
-/** The end of a roll-out; never left again. */
+/** The final outcome of a roll-out. */
 export type RolloutEnd = "complete" | "rolled-back";
 
-/** What a decision on the next step goes by. */
+/** State from which the next step is chosen. */
 export interface RolloutProgress {
     readonly step: RolloutStep;
-    /** Since the order; milliseconds. */
+    /** Time since the order, in milliseconds. */
     readonly ageMs: number;
-    /** Since the step began; milliseconds. */
+    /** Time since the step began, in milliseconds. */
     readonly stepAgeMs: number;
-    /** Within this time after the order a sound version has to be complete; milliseconds. */
+    /** A sound version has to be complete within this time after the order, in milliseconds. */
     readonly durationMs: number;
     readonly verdict: RolloutVerdict;
-    /** Slots of the new version's targets that take requests and are not cold, over those of the old version's. */
+    /**
+     * Slots of the new version's targets that accept requests and are not cold, divided by the slots of the old
+     * version's.
+     */
     readonly capacityRatio: number;
-    /** Whether every router has reported that it sends to the new version and has nothing under way at the old one. */
+    /**
+     * Whether every router has reported that it sends to the new version and has no requests running at the old one.
+     */
     readonly isOldVersionIdle: boolean;
-    /** Whether the operators took the order back. */
+    /** Whether the operators withdrew the order. */
     readonly isWithdrawn: boolean;
 }
 
-/** What follows, and why. */
+/** The next step or outcome, and the reason for it. */
 export interface RolloutDecision {
     readonly next: RolloutStep | RolloutEnd;
     readonly reason: string;
 }
 
-/** Part of the requests that the new version gets in the `ramp` step. */
+/** Fraction of the requests that the new version receives in the `ramp` step. */
 export const rampShare = 0.3;
-/** Parts of the duration. */
+/** Fractions of the roll-out's duration. */
 const watchPart = 0.6;
-/** From here on a version that nothing speaks against need not be proved with the tests' full error rates. */
+/**
+ * From this fraction on, a version without evidence against it need not be proven sound with the full error rates of
+ * the tests.
+ */
 const likelyCanaryPart = 0.62;
 const rampPart = 0.08;
-/** From here on what still runs at the old version is not waited for. */
+/** From this fraction on, requests still running at the old version are no longer waited for. */
 const lastPart = 0.93;
 const leastRampMs = 600;
 const leastSwitchMs = 400;
-/** With fewer targets, the new version could not serve what the old one does. */
+/** With a lower ratio, the new version could not serve the old version's load. */
 const leastCapacityRatio = 0.5;
 
-/** The next step or the end; undefined: the roll-out stays where it is. */
+/** Chooses the next step or the outcome; undefined if the roll-out stays in its current step. */
 export function chooseNextStep(progress: RolloutProgress): RolloutDecision | undefined {
     if (progress.isWithdrawn) {
         return { next: "rolled-back", reason: "the order was withdrawn" };
--- a/src/decisions/rollouts/sequentialTest.ts
+++ b/src/decisions/rollouts/sequentialTest.ts
@@ -1,44 +1,51 @@
 /**
- * Wald's sequential probability ratio test of a Bernoulli rate (Wald, 1945), with Page's CUSUM (1954) for a rate that rises later.
+ * Wald's sequential probability ratio test of a Bernoulli rate (Wald, 1945), with Page's CUSUM (1954) for a rate that
+ * rises later.
  *
- * The test may be looked at after each sample: its error rates hold for any number of looks.
+ * The test may be evaluated after each sample: its error rates hold for any number of evaluations.
  */
 
-/** The two rates that a {@link SequentialTest} tells apart, and how often it may be wrong. */
+/** The two rates that a {@link SequentialTest} distinguishes, and its permitted error rates. */
 export interface TestPlan {
-    /** Rate of a sound population; 0 to 1. */
+    /** Rate of a sound population, 0 to 1. */
     readonly soundRate: number;
-    /** Least rate of a faulty one; above `soundRate`. */
+    /** Minimum rate of a faulty population; above `soundRate`. */
     readonly faultyRate: number;
-    /** Probability that a sound population is taken for faulty. */
+    /** Probability that a sound population is classified as faulty. */
     readonly falseAlarmRate: number;
-    /** Probability that a faulty one is taken for sound. */
+    /** Probability that a faulty population is classified as sound. */
     readonly missRate: number;
 }
 
-/** Log-likelihood ratio of the newest samples from which a fault may have begun: two or three events in a row. */
+/**
+ * Log-likelihood ratio of the newest samples from which a fault may have begun, equivalent to two or three consecutive
+ * events.
+ */
 const leastDoubt = 1.5;
 
-/** What the samples so far show. */
+/** Result of the test for the samples so far. */
 export type TestResult = "sound" | "faulty" | "open";
 
-/** Log-likelihood ratio of so many events among so many samples; above 0 for faulty. */
+/** Log-likelihood ratio of `events` among `samples`; above 0 if they indicate a faulty population. */
 export function computeLogRatio({ soundRate, faultyRate }: TestPlan, samples: number, events: number): number {
     return (
         events * Math.log(faultyRate / soundRate) + (samples - events) * Math.log((1 - faultyRate) / (1 - soundRate))
     );
 }
 
-/** Tests one rate as its samples come in. */
+/** Tests one rate incrementally as samples arrive. */
 export class SequentialTest {
-    /** Over all samples. */
+    /** Log-likelihood ratio of all samples. */
     private logRatio = 0;
-    /** Since it was last at 0: a long sound time does not outweigh a fault that begins later. */
+    /**
+     * Log-likelihood ratio since it was last at 0, so that a long sound period does not outweigh a fault that begins
+     * later.
+     */
     private sinceSound = 0;
     private samples = 0;
     private isFaulty = false;
 
-    /** Takes further samples; `plan` may change as the baseline's rate does. */
+    /** Adds samples. `plan` may change as the baseline's rate does. */
     public observe(plan: TestPlan, samples: number, events: number): void {
         const ratio = computeLogRatio(plan, samples, events);
         this.samples += samples;
@@ -55,7 +62,7 @@
         return isShown && this.sinceSound < leastDoubt ? "sound" : "open";
     }
 
-    /** Whether the samples speak for a sound population, though perhaps not yet with the error rates of the plan. */
+    /** Whether the samples indicate a sound population, possibly not yet with the error rates of the plan. */
     public isLikelySound(leastSamples: number): boolean {
         return !this.isFaulty && this.samples >= leastSamples && this.logRatio < 0 && this.sinceSound < leastDoubt;
     }
--- a/src/decisions/rollouts/versionEvidence.ts
+++ b/src/decisions/rollouts/versionEvidence.ts
@@ -1,29 +1,29 @@
-/** What was observed of one version on one route; each count only rises. */
+/** Counts of one version on one route; each count only increases. */
 export interface VersionCounts {
-    /** Sends that the target ran, or may have run. */
+    /** Requests that the target executed or may have executed. */
     readonly requests: number;
-    /** Answers that were failures of the target, or were not whole. */
+    /** Responses that were failures of the target or incomplete. */
     readonly failures: number;
-    /** Sends whose answer's time says something: neither broken off nor at a target that has just started. */
+    /** Requests with a meaningful response time: not disconnected, and not at a target that has just started. */
     readonly timed: number;
-    /** Of these, answers that took several times as long as was to be expected. */
+    /** Of the timed requests, those whose response took several times the expected time. */
     readonly slow: number;
 }
 
-/** Both versions on one route, in the same time. */
+/** Counts of both versions on one route over the same time. */
 export interface RouteEvidence {
     readonly route: string;
     readonly candidate: VersionCounts;
     readonly baseline: VersionCounts;
 }
 
-/** Broken connections at one target of the candidate version: a target that crashes breaks all of them at once. */
+/** Disconnects at one target of the candidate version. A target that crashes disconnects all its requests at once. */
 export interface TargetBreaks {
     readonly targetHash: number;
     readonly breaks: number;
 }
 
-/** What one router has observed since it knows of the roll-out. */
+/** The counts of one router since it received the roll-out. */
 export interface RolloutEvidence {
     readonly routes: readonly RouteEvidence[];
     readonly breaks: readonly TargetBreaks[];
@@ -32,17 +32,17 @@
 /** Counts before the first observation. */
 export const noCounts: VersionCounts = { requests: 0, failures: 0, timed: 0, slow: 0 };
 
-/** One send that has ended. */
+/** The result of one request that has ended. */
 export interface VersionSample {
     readonly route: string;
     readonly isCandidate: boolean;
     readonly targetHash: number;
     readonly result: "ok" | "failed" | "broken";
-    /** Undefined: the time of the answer says nothing. */
+    /** Undefined if the response time is not meaningful. */
     readonly isSlow: boolean | undefined;
 }
 
-/** Counts what a router observes of the two versions. */
+/** Counts a router's results for both versions. */
 export class EvidenceCounter {
     private readonly routes = new Map<string, RouteEvidence>();
     private readonly breaks = new Map<number, number>();
@@ -65,7 +65,10 @@
         }
     }
 
-    /** Requests that the target broke off turn out to be failures: it has answered later ones. */
+    /**
+     * Counts disconnected requests as failures, because the target has responded to later requests and so did not
+     * crash.
+     */
     public recordBreakFailures(route: string, count: number): void {
         const before = this.routes.get(route);
         if (before !== undefined) {
--- a/test/decisions/health/circuitBreaker.test.ts
+++ b/test/decisions/health/circuitBreaker.test.ts
@@ -3,8 +3,8 @@
 import { CircuitBreaker } from "../../../src/decisions/health/circuitBreaker.js";
 
 describe("CircuitBreaker", () => {
-    // The callers see: errors from one bad target end after five. The target fails at once and so always has room; the
-    // circuit opens, lets one probe through after each pause, and closes on the first that works.
+    // Limits the errors that callers receive from one failing target to five. The target fails requests immediately and
+    // so always has capacity; the circuit opens, allows one probe after each pause, and closes after the first output.
     it("opens after five failures, probes alone with growing pauses, and closes on output", () => {
         const circuit = new CircuitBreaker(new SeededRandom(1));
         const log: string[] = [];
--- a/test/decisions/health/lapsePolicy.test.ts
+++ b/test/decisions/health/lapsePolicy.test.ts
@@ -4,13 +4,14 @@
 const bounds = { drainMs: 2_000, contactMs: 3_000, deliveryMs: 300 };
 const nowMs = 10_000;
 
-/** For how long a target is kept whose removal is read now; milliseconds. */
+/** Time in milliseconds for which a target is kept whose removal is read now. */
 function computeKeptMs(contact: StoreContact): number {
     const { keptUntilMs } = new BoundedLapses(() => contact, bounds).checkRemoval(nowMs);
     return keptUntilMs === undefined ? 0 : keptUntilMs - nowMs;
 }
 
-// Kept for as long as records may take to come back, a target that has left would get requests beyond its bound.
+// If every target were kept until its record could have reappeared, a target that has left would receive requests
+// beyond the allowed time.
 it("keeps a target until its record is back or a departure binds, whichever is first", () => {
     const outage = { lastCallAtMs: 9_500, answeredAtMs: 9_900 };
     expect({
--- a/test/decisions/health/targetAvailability.property.test.ts
+++ b/test/decisions/health/targetAvailability.property.test.ts
@@ -21,7 +21,7 @@
 );
 
 describe("a target's availability", () => {
-    // Evidence comes late, twice and in any order; none of it may open a target again that is leaving or wants nothing.
+    // Evidence arrives late, repeatedly and in any order; none of it may reopen a target that is leaving or in a pause.
     it("stays closed from the first evidence on, and until the latest end of its pauses", () => {
         fc.assert(
             fc.property(steps, sequence => {
@@ -58,7 +58,7 @@
         return sends;
     }
 
-    // All that waited for the end would turn the target away again at once.
+    // If all queued requests were sent at the end of the pause, the target would refuse requests again at once.
     it("lets one request through, then more with each answer, then all", () => {
         const pause = new TargetPause();
         pause.record(500, 0);
--- a/test/decisions/limits/coldLimit.property.test.ts
+++ b/test/decisions/limits/coldLimit.property.test.ts
@@ -6,8 +6,9 @@
 const secondMs = 1_000;
 
 describe("the limit of a cold target", () => {
-    // A target has just been started, and all routers have work for it. They don't ask each other; some have not heard of some
-    // of the others. In no second may the target get more from all of them together than it bears.
+    // A target has just started, and all routers have work for it. They do not coordinate, and some have not received
+    // messages from some of the others. In no second may the target receive more from all of them together than it can
+    // handle.
     it("holds over all routers, also while some have not heard of others", () => {
         fc.assert(
             fc.property(
@@ -23,7 +24,7 @@
                     const rate = { requestsPerSecond, overage, slack };
                     const limiters = ids.map(() => new ColdLimiter());
                     const shares = ids.map((ownId, index) => {
-                        // A peer that was not heard is known as a seed, so its part is left to it.
+                        // A peer without received messages is still listed as a seed, so its part is reserved for it.
                         const hidden = unheardPeers === 1 ? ids[(index + 1) % count] : undefined;
                         const routerIds = ids.filter(id => id !== hidden);
                         const view: RouterView = { ownId, routerIds, unheard: unheardPeers, isSettled: true };
--- a/test/decisions/limits/concurrencyWindow.test.ts
+++ b/test/decisions/limits/concurrencyWindow.test.ts
@@ -23,8 +23,8 @@
         );
     });
 
-    // The callers see: longer waits, no failures. The target turns cold without a word; its report still says warm, but
-    // its first output is ten times late. Reports from just before do not end the cold start.
+    // Guards against failures when a target turns cold without notice: its report still says warm, but its first output
+    // is ten times late. Reports from shortly before must not end the cold start.
     it("falls to the cold limit on a late first output, and stays there until fresh reports say warm", () => {
         const window = createWarmWindow();
         sendOutputs(window, 16, 300, 4_000);
@@ -49,8 +49,8 @@
         `);
     });
 
-    // The callers see: full load again after a few seconds, and not the same fall again and again. The target was only busy:
-    // its first outputs are late at full load, while its reports never say cold.
+    // Guards against a target that falls back to its cold limit repeatedly although it is only busy: its first outputs
+    // are late at full load, while its reports never say cold.
     it("learns from false alarms", () => {
         const window = createWarmWindow();
         sendOutputs(window, 16, 300, 4_000);
@@ -69,7 +69,7 @@
         `);
     });
 
-    // The callers see: the target's queue does not grow while it is slow. First outputs take five times as long as usual.
+    // Guards against a growing queue at a slow target whose first outputs take five times as long as usual.
     it("shrinks by a fifth, once a second, while first outputs are slow", () => {
         const window = createWarmWindow();
         sendOutputs(window, 30, 300, 4_000);
--- a/test/decisions/limits/orderPolicy.test.ts
+++ b/test/decisions/limits/orderPolicy.test.ts
@@ -10,8 +10,8 @@
         targetChecksFencing: false,
     };
 
-    // The operators see: an old agent's order does not undo a new one's. The old agent was paused and wakes; a newer one
-    // may have registered meanwhile.
+    // An old agent's order must not revert a new agent's. The old agent was paused and resumes; a newer one may have
+    // registered meanwhile.
     it("sends no order on a registration that may be old, unless the target itself checks the number", () => {
         const decide = (changes: Partial<OrderSituation>): string => {
             const decision = checkOrder({ ...base, ...changes }, 10_000);
--- a/test/decisions/limits/weightLoadBucket.test.ts
+++ b/test/decisions/limits/weightLoadBucket.test.ts
@@ -3,8 +3,8 @@
 import { WeightLoadBucket } from "../../../src/decisions/limits/weightLoadBucket.js";
 
 describe("WeightLoadBucket", () => {
-    // The operators see: the weight store answers. A data centre with 30 targets comes back and all ask for weights at once,
-    // again as soon as they are told to; the fleet's loads stay at the store's rate.
+    // Guards against an overload of the weight store. A data centre with 30 targets recovers, and all of them request
+    // weights at once and retry as soon as they may; the fleet's loads have to stay within the store's rate.
     it("keeps a fleet that starts at once to the store's rate", () => {
         const agents = [...Array(30).keys()].map(index => ({
             bucket: new WeightLoadBucket(index / 30, new SeededRandom(index)),
--- a/test/decisions/quarantine/crashLedger.test.ts
+++ b/test/decisions/quarantine/crashLedger.test.ts
@@ -57,7 +57,7 @@
         expect(ledger.check(digest, 30)).toBe("suspect");
     });
 
-    // Reports are sent several times, and arrive in any order; counted by report, two crashes would hold a request.
+    // Reports are sent several times and arrive in any order. If each report counted, two crashes would hold a request.
     it("stands the same whatever the order and however often crashes are reported", () => {
         fc.assert(
             fc.property(
@@ -74,7 +74,8 @@
         );
     });
 
-    // An account sends many different requests that end targets: held one by one, each of them costs three.
+    // An account sends many different requests that crash targets. If requests were held independently, each of them
+    // would end three targets.
     it("is held sooner the more requests of its account and path are held, and others as before", () => {
         const ledger = new CrashLedger();
         const countToHold = (name: string, prefixHash: number): number => {
@@ -114,7 +115,7 @@
 const streamsPerStep = 4;
 const runMs = 30_000;
 
-/** Part of harmless streams that are held while so many engines crash at once, time after time. */
+/** Fraction of harmless streams that are held while `crashedAtOnce` engines crash in each period. */
 function measureHeldInnocents(crashedAtOnce: number, periodMs: number): number {
     const random = new SeededRandom(11);
     const ledger = new CrashLedger();
@@ -155,7 +156,8 @@
 }
 
 describe("harmless streams on engines that crash one after the other", () => {
-    // They were running when targets ended, as the request that ends them was; held, they would be refused for nothing.
+    // These streams were running when targets ended, like the request that caused the crashes; if held, they would be
+    // refused without reason.
     it.each([1, 3, 10])("are held in less than one of a thousand cases, %i engines at a time", crashedAtOnce => {
         expect(measureHeldInnocents(crashedAtOnce, 500)).toBeLessThan(0.001);
     });
--- a/test/decisions/retries/retries.test.ts
+++ b/test/decisions/retries/retries.test.ts
@@ -6,7 +6,8 @@
 
 describe("RetryBudget", () => {
     it("keeps an outage from becoming a retry storm, and one account from using up the others' retries", () => {
-        // Everything of one account fails at once. Its retries end at a tenth of its first tries; the other's go on.
+        // All requests of one account fail at once. Its retries end at a tenth of its first attempts; the other
+        // account's continue.
         const budget = new RetryBudget();
         for (let index = 0; index < 1_000; index++) {
             budget.recordFirstTry(index % 2 === 0 ? "failing" : "calm", 5_000);
@@ -14,7 +15,7 @@
         const take = (account: string, atMs: number): number =>
             Array.from({ length: 500 }).filter(() => budget.takeRetry(account, 0.1, atMs)).length;
         expect([take("failing", 5_500), take("calm", 5_500), take("failing", 14_500)]).toEqual([50, 50, 0]);
-        // Ten seconds later nothing counts any more but the floor for a quiet account.
+        // Ten seconds later only the floor for an account with little traffic applies.
         expect([take("failing", 30_000), take("calm", 30_000)]).toEqual([3, 3]);
     });
 });
@@ -74,8 +75,8 @@
 });
 
 describe("a retry budget over a window of its own", () => {
-    // A deployment compares retries over four seconds. With ten, first tries that lie long back would pay for a storm of
-    // repeats now.
+    // A deployment counts retries over four seconds. With ten, first attempts from long ago would permit a burst of
+    // retries now.
     it("forgets first tries that are older than the window", () => {
         const budget = new RetryBudget({ perAccount: 0, perRouter: 0 }, 4_000);
         for (let index = 0; index < 10; index++) {
--- a/test/decisions/rollouts/exposureBudget.property.test.ts
+++ b/test/decisions/rollouts/exposureBudget.property.test.ts
@@ -5,7 +5,7 @@
 const seed = 20_261_204;
 const limit = { share: 0.1, slack: 50 };
 
-// Routers start, end and start anew without a word to one another; the sum of what they send must stay within the bound.
+// Routers start, stop and restart without exchanging messages; the sum of what they send must stay within the limit.
 it("the routers' budgets together stay within the exposure, whoever starts and ends", () => {
     fc.assert(
         fc.property(
--- a/test/decisions/rollouts/rolloutJudge.test.ts
+++ b/test/decisions/rollouts/rolloutJudge.test.ts
@@ -6,7 +6,7 @@
 const seed = 20_261_204;
 const sample: VersionSample = { route: "a", isCandidate: true, targetHash: 1, result: "ok", isSlow: false };
 
-/** Feeds samples one by one, with as many of the old version, which are sound; returns the verdict after each. */
+/** Applies samples one by one, each with a sound sample of the old version, and returns the verdict after each. */
 function listVerdicts(samples: readonly VersionSample[]): readonly string[] {
     const counter = new EvidenceCounter();
     const judged = new RolloutJudge();
@@ -51,7 +51,8 @@
         expect(verdicts.at(-1)).toBe("bad");
     });
 
-    // One target that crashes breaks all its requests at once; taken for as many failures, each crash would end a roll-out.
+    // A target that crashes disconnects all its requests at once. If they counted as separate failures, each crash
+    // would end a roll-out.
     it("one of whose targets crashes is not bad", () => {
         const verdicts = listVerdicts(
             createSamples(200, (...[, index]) => (index > 50 && index < 60 ? { result: "broken" } : {})),
@@ -71,7 +72,7 @@
         expect(judged.verdict).not.toBe("good");
     });
 
-    // Routers restart with counts that begin anew; what they had reported before must not be taken back.
+    // Routers restart with counts that begin at zero; what they reported before must not be subtracted.
     it("keeps what a router reported before it started anew", () => {
         const judged = new RolloutJudge();
         const before = new EvidenceCounter();
