--- a/src/decisions/health/availabilityRegistry.ts
+++ b/src/decisions/health/availabilityRegistry.ts
@@ -13,10 +13,10 @@
 }
 
 /** Several times the number of targets in a large fleet; the least recently used entries are evicted. */
-const mostIncarnations = 32_768;
+const maxIncarnations = 32_768;
 
 /** Maximum number of earlier start times cached per target; an older copy of the store lags by seconds only. */
-const mostPastStarts = 8;
+const maxPastStarts = 8;
 
 /** The start times in the records of one target so far. */
 interface Starts {
@@ -29,8 +29,8 @@
  * store is unavailable.
  */
 export class AvailabilityRegistry {
-    private readonly incarnations = new LRUCache<string, TargetAvailability>({ max: mostIncarnations });
-    private readonly starts = new LRUCache<number, Starts>({ max: mostIncarnations });
+    private readonly incarnations = new LRUCache<string, TargetAvailability>({ max: maxIncarnations });
+    private readonly starts = new LRUCache<number, Starts>({ max: maxIncarnations });
 
     /** The incarnation's availability, created on first use. */
     public find(incarnation: TargetIncarnation): TargetAvailability {
@@ -52,17 +52,17 @@
         if (startedAtMs === undefined) {
             return true;
         }
-        const known = this.starts.get(idHash);
-        if (known === undefined) {
+        const starts = this.starts.get(idHash);
+        if (starts === undefined) {
             this.starts.set(idHash, { current: startedAtMs, past: [] });
             return true;
         }
-        if (known.past.includes(startedAtMs)) {
+        if (starts.past.includes(startedAtMs)) {
             return false;
         }
-        if (known.current !== startedAtMs) {
-            known.past = [known.current, ...known.past].slice(0, mostPastStarts);
-            known.current = startedAtMs;
+        if (starts.current !== startedAtMs) {
+            starts.past = [starts.current, ...starts.past].slice(0, maxPastStarts);
+            starts.current = startedAtMs;
         }
         return true;
     }
--- a/src/decisions/health/firstOutputBaseline.ts
+++ b/src/decisions/health/firstOutputBaseline.ts
@@ -6,12 +6,12 @@
 export const coldRatio = 10;
 
 /** Fixed cost of a request, expressed as the number of prompt tokens that take the same time. */
-const fixedPartTokens = 200;
-const leastSlowMs = 500;
-const leastColdMs = 2_000;
+const fixedCostTokens = 200;
+const minSlowMs = 500;
+const minColdMs = 2_000;
 const smoothing = 0.02;
 /** A sample is limited to this multiple of the expected value. */
-const largestSampleRatio = 2;
+const maxSampleRatio = 2;
 const falseAlarmRatio = 1.5;
 
 /** How the delay of a first output compares with the target's usual delay. */
@@ -39,7 +39,7 @@
     public getColdAfterMs(promptTokens: number): number | undefined {
         return this.samples < baselineSamples
             ? undefined
-            : Math.max(leastColdMs, this.getExpectedMs(promptTokens) * coldRatio);
+            : Math.max(minColdMs, this.getExpectedMs(promptTokens) * coldRatio);
     }
 
     public compare(delayMs: number, promptTokens: number): FirstOutputJudgement {
@@ -50,14 +50,14 @@
         if (delayMs > coldAfterMs) {
             return "cold";
         }
-        return delayMs > Math.max(leastSlowMs, this.getExpectedMs(promptTokens) * slowRatio) ? "slow" : "usual";
+        return delayMs > Math.max(minSlowMs, this.getExpectedMs(promptTokens) * slowRatio) ? "slow" : "usual";
     }
 
     public observe(delayMs: number, promptTokens: number): void {
         this.samples += 1;
-        const sample = delayMs / (fixedPartTokens + promptTokens);
+        const sample = delayMs / (fixedCostTokens + promptTokens);
         const isSettled = this.samples > baselineSamples;
-        const msPerToken = isSettled ? Math.min(sample, this.msPerToken * largestSampleRatio) : sample;
+        const msPerToken = isSettled ? Math.min(sample, this.msPerToken * maxSampleRatio) : sample;
         this.msPerToken += (msPerToken - this.msPerToken) * Math.max(smoothing, 1 / this.samples);
     }
 
@@ -67,6 +67,6 @@
     }
 
     private getExpectedMs(promptTokens: number): number {
-        return this.msPerToken * (fixedPartTokens + promptTokens);
+        return this.msPerToken * (fixedCostTokens + promptTokens);
     }
 }
--- a/src/decisions/health/lapsePolicy.ts
+++ b/src/decisions/health/lapsePolicy.ts
@@ -53,7 +53,7 @@
 }
 
 /** Maximum time after the store's recovery until the records of running targets reappear, in milliseconds. */
-const returnMs = 2_300;
+const maxReappearMs = 2_300;
 
 /**
  * Keeps targets during the time in which records that expired in an outage reappear. If such targets were dropped at
@@ -76,11 +76,11 @@
             return { keptUntilMs: undefined, viewAgeMs };
         }
         const { drainMs, contactMs, deliveryMs } = this.bounds;
-        const bindsAtMs = Math.max(
+        const effectiveAtMs = Math.max(
             (coveredUntilMs ?? Number.NEGATIVE_INFINITY) + drainMs,
             outage.lastCallAtMs + contactMs,
         );
-        const keptUntilMs = Math.min((outage.answeredAtMs ?? nowMs) + returnMs, bindsAtMs - deliveryMs);
+        const keptUntilMs = Math.min((outage.answeredAtMs ?? nowMs) + maxReappearMs, effectiveAtMs - deliveryMs);
         const outageAgoMs = nowMs - outage.lastCallAtMs;
         return { keptUntilMs: keptUntilMs > nowMs ? keptUntilMs : undefined, viewAgeMs, outageAgoMs };
     }
--- a/src/decisions/health/targetPause.ts
+++ b/src/decisions/health/targetPause.ts
@@ -2,18 +2,18 @@
  * Duration of the slow start after a pause, in milliseconds: it begins with a single send, and responses allow more.
  */
 const rampMs = 1_000;
-const firstSends = 1;
+const initialSends = 1;
 /**
  * Additional sends for each response. If all queued requests were sent at the end of the pause, they would overload the
  * target again at once.
  */
-const sendsPerAnswer = 2;
+const sendsPerResponse = 2;
 
 /** A pause that a target requested from this router, and the slow start after it. */
 export class TargetPause {
     private untilMs = Number.NEGATIVE_INFINITY;
     private sends = 0;
-    private answers = 0;
+    private responses = 0;
 
     /**
      * Records a requested pause. Returns false if the current pause ends later or at the same time. A shorter pause
@@ -25,7 +25,7 @@
         }
         this.untilMs = nowMs + waitMs;
         this.sends = 0;
-        this.answers = 0;
+        this.responses = 0;
         return true;
     }
 
@@ -39,7 +39,7 @@
         if (nowMs < this.untilMs) {
             return false;
         }
-        return nowMs >= this.untilMs + rampMs || this.sends < firstSends + this.answers * sendsPerAnswer;
+        return nowMs >= this.untilMs + rampMs || this.sends < initialSends + this.responses * sendsPerResponse;
     }
 
     /** Time at which {@link canStart} next changes without further sends or responses; undefined if it does not. */
@@ -53,6 +53,6 @@
 
     /** Records that the target accepted a request. */
     public recordAnswer(): void {
-        this.answers += 1;
+        this.responses += 1;
     }
 }
--- a/src/decisions/limits/coldLimit.ts
+++ b/src/decisions/limits/coldLimit.ts
@@ -19,14 +19,14 @@
  * Maximum number of routers that share a cold target, so that each may send several requests per second at a usual
  * rate.
  */
-const mostSharers = 4;
-const leastSharers = 2;
-const usedShare = 0.75;
+const maxSharers = 4;
+const minSharers = 2;
+const usedFraction = 0.75;
 /**
  * The limit applies to sliding seconds; the window in milliseconds is longer to allow for requests that are delayed in
  * transit.
  */
-const spanMs = 1_150;
+const windowMs = 1_150;
 
 /** The load that a cold target can handle. */
 export interface ColdRate {
@@ -53,19 +53,19 @@
     }
     const targetHash = hashFast(targetId);
     const weights = view.routerIds.map(id => ({ id, weight: mixHashes(targetHash, hashFast(id)) }));
-    const sharers = Math.max(leastSharers, Math.min(mostSharers, weights.length + view.unheard));
+    const sharers = Math.max(minSharers, Math.min(maxSharers, weights.length + view.unheard));
     const own = weights.find(entry => entry.id === view.ownId)?.weight ?? 0;
-    const ahead = weights.filter(entry => entry.weight > own).length;
-    if (ahead >= sharers) {
+    const rank = weights.filter(entry => entry.weight > own).length;
+    if (rank >= sharers) {
         return 0;
     }
-    const bearable = rate.requestsPerSecond * rate.overage + rate.slack;
-    return Math.floor((bearable * usedShare) / sharers);
+    const capacity = rate.requestsPerSecond * rate.overage + rate.slack;
+    return Math.floor((capacity * usedFraction) / sharers);
 }
 
 /** Limits this router's sends to one cold target to its share. */
 export class ColdLimiter {
-    private readonly sent = new SlidingCount(spanMs);
+    private readonly sent = new SlidingCount(windowMs);
 
     /** Counts every send, also while the target is warm, because it may turn cold within the same second. */
     public recordSend(nowMs: number): void {
--- a/src/decisions/limits/concurrencyWindow.ts
+++ b/src/decisions/limits/concurrencyWindow.ts
@@ -13,7 +13,7 @@
 const slowDecrease = 0.8;
 const slowDecreaseEveryMs = 1_000;
 /** Consecutive slow first outputs before the window shrinks; one or two occur on any target. */
-const slowInRow = 3;
+const consecutiveSlowOutputs = 3;
 
 /** Delay and context of a request's first token or response head. */
 export interface FirstOutput {
@@ -60,7 +60,7 @@
     private lastReportAtMs: number | undefined;
     /** Whether a late first output is the only evidence for the current cold start. */
     private isSuspicionOnly = false;
-    private slowCount = 0;
+    private consecutiveSlowCount = 0;
     private lastDecreaseAtMs = Number.NEGATIVE_INFINITY;
 
     /** Maximum number of requests that may run at once now. */
@@ -77,8 +77,8 @@
         this.coldSinceMs ??= nowMs;
         this.limits = limits;
         const before = this.currentLimit;
-        const least = Math.min(limits.coldLimit, limits.maxConcurrent);
-        this.currentLimit = this.cold ? least : Math.min(Math.max(before, least), limits.maxConcurrent);
+        const minLimit = Math.min(limits.coldLimit, limits.maxConcurrent);
+        this.currentLimit = this.cold ? minLimit : Math.min(Math.max(before, minLimit), limits.maxConcurrent);
         return this.currentLimit !== before;
     }
 
@@ -124,12 +124,12 @@
         const baseline = this.baselines[output.workClass];
         const judgement = baseline.compare(delayMs, promptTokens);
         baseline.observe(delayMs, promptTokens);
-        this.slowCount = judgement === "slow" ? this.slowCount + 1 : 0;
+        this.consecutiveSlowCount = judgement === "slow" ? this.consecutiveSlowCount + 1 : 0;
         if (judgement === "cold") {
             return this.observeLateOutput(nowMs);
         }
         if (judgement === "slow") {
-            return this.slowCount < slowInRow ? undefined : this.applyDecrease(nowMs);
+            return this.consecutiveSlowCount < consecutiveSlowOutputs ? undefined : this.applyDecrease(nowMs);
         }
         if (running * 2 < this.currentLimit || this.currentLimit >= this.limits.maxConcurrent) {
             return undefined;
--- a/src/decisions/limits/weightLoadBucket.ts
+++ b/src/decisions/limits/weightLoadBucket.ts
@@ -4,7 +4,7 @@
 const burstMinutes = 0.25;
 const minuteMs = 60_000;
 /** Jitter of the retry time of a refused load, as a fraction of the wait. */
-const jitterShare = 0.1;
+const jitterFraction = 0.1;
 
 /** Whether a weight load may start now, or after which time to retry. */
 export type WeightLoadDecision =
@@ -42,14 +42,14 @@
      */
     public take(perMinute: number, agents: number, nowMs: number): WeightLoadDecision {
         const perMs = perMinute / Math.max(1, agents) / minuteMs;
-        const most = Math.max(1, (perMinute / Math.max(1, agents)) * burstMinutes);
-        this.tokens = Math.min(most, this.tokens + perMs * (nowMs - (this.updatedAtMs ?? nowMs)));
+        const maxTokens = Math.max(1, (perMinute / Math.max(1, agents)) * burstMinutes);
+        this.tokens = Math.min(maxTokens, this.tokens + perMs * (nowMs - (this.updatedAtMs ?? nowMs)));
         this.updatedAtMs = nowMs;
         if (this.tokens >= 1) {
             this.tokens -= 1;
             return { allowed: true };
         }
         const waitMs = (1 - this.tokens) / perMs;
-        return { allowed: false, retryAfterMs: waitMs * (1 + jitterShare * this.random.next()) };
+        return { allowed: false, retryAfterMs: waitMs * (1 + jitterFraction * this.random.next()) };
     }
 }
--- a/src/decisions/quarantine/crashLedger.ts
+++ b/src/decisions/quarantine/crashLedger.ts
@@ -55,18 +55,18 @@
  * threshold by one: an account that sends many different such requests would otherwise end three targets with each of
  * them.
  */
-const heldFrom = 3;
-const leastHeldFrom = 1;
-const heldToLower = 2;
-const suspectFrom = 1;
+const holdThreshold = 3;
+const minHoldThreshold = 1;
+const heldPerThresholdStep = 2;
+const suspectThreshold = 1;
 const strongSuspectMargin = 1;
 /** Duration of the first hold in milliseconds. A trial may end a target and all its streams, so trials are rare. */
-const firstHoldMs = 600_000;
-const longestHoldMs = 21_600_000;
+const initialHoldMs = 600_000;
+const maxHoldMs = 21_600_000;
 /** Evidence expires after this time in milliseconds if no more is recorded. */
 const evidenceTtlMs = 3_600_000;
 /** Maximum number of requests with evidence; the least recently used ones are evicted. */
-const mostRequests = 2_000;
+const maxRequests = 2_000;
 /** Evidence against a cleared request from incarnations recorded before is ignored for this long, in milliseconds. */
 const tombstoneMs = 5_000;
 
@@ -86,11 +86,11 @@
 /** Stores crash evidence and decides which requests are held. */
 export class CrashLedger {
     private readonly entries = new LRUCache<string, Entry>({
-        max: mostRequests,
+        max: maxRequests,
         dispose: entry => this.removePrefix(entry.prefixHash),
     });
     private readonly prefixes = new Map<number, number>();
-    private readonly tombstones = new LRUCache<string, Tombstone>({ max: mostRequests });
+    private readonly tombstones = new LRUCache<string, Tombstone>({ max: maxRequests });
 
     /** Whether there is evidence against any request with this prefix. */
     public hasPrefix(prefixHash: number): boolean {
@@ -100,21 +100,21 @@
     /** Adds evidence. Returns true if it caused the request to be held. */
     public record(evidence: CrashEvidence, nowMs: number): boolean {
         const { digest, incarnation, weight } = evidence;
-        if (this.isVoid(digest, incarnation, nowMs)) {
+        if (this.isIgnored(digest, incarnation, nowMs)) {
             return false;
         }
         const entry = this.openEntry(evidence, nowMs);
-        const known = entry.weights.get(incarnation) ?? 0;
-        if (known >= weight) {
+        const knownWeight = entry.weights.get(incarnation) ?? 0;
+        if (knownWeight >= weight) {
             return false;
         }
         entry.weights.set(incarnation, weight);
         entry.lastAtMs = nowMs;
-        const isNew = known === 0 && entry.heldUntilMs <= nowMs;
-        if (computeScore(entry) < this.computeHeldFrom(entry, nowMs) || !isNew) {
+        const isNew = knownWeight === 0 && entry.heldUntilMs <= nowMs;
+        if (computeScore(entry) < this.computeHoldThreshold(entry, nowMs) || !isNew) {
             return false;
         }
-        entry.holdMs = entry.holdMs === 0 ? firstHoldMs : Math.min(longestHoldMs, entry.holdMs * 2);
+        entry.holdMs = entry.holdMs === 0 ? initialHoldMs : Math.min(maxHoldMs, entry.holdMs * 2);
         entry.heldUntilMs = nowMs + entry.holdMs;
         return true;
     }
@@ -128,10 +128,10 @@
             return nowMs < entry.heldUntilMs ? "held" : "probe";
         }
         const score = computeScore(entry);
-        if (score < suspectFrom) {
+        if (score < suspectThreshold) {
             return "clear";
         }
-        return score + strongSuspectMargin < this.computeHeldFrom(entry, nowMs) ? "suspect" : "strong-suspect";
+        return score + strongSuspectMargin < this.computeHoldThreshold(entry, nowMs) ? "suspect" : "strong-suspect";
     }
 
     /**
@@ -192,23 +192,23 @@
         return entry;
     }
 
-    private computeHeldFrom({ prefixHash }: Entry, nowMs: number): number {
+    private computeHoldThreshold({ prefixHash }: Entry, nowMs: number): number {
         let heldCount = 0;
         for (const other of this.prefixes.has(prefixHash) ? this.entries.values() : []) {
             heldCount += other.prefixHash === prefixHash && nowMs < other.heldUntilMs ? 1 : 0;
         }
-        return Math.max(leastHeldFrom, heldFrom - Math.floor(heldCount / heldToLower));
+        return Math.max(minHoldThreshold, holdThreshold - Math.floor(heldCount / heldPerThresholdStep));
     }
 
-    private isVoid(digest: string, incarnation: number, nowMs: number): boolean {
+    private isIgnored(digest: string, incarnation: number, nowMs: number): boolean {
         const tombstone = this.tombstones.get(digest);
         return tombstone !== undefined && nowMs < tombstone.untilMs && tombstone.incarnations.has(incarnation);
     }
 
     private removePrefix(prefixHash: number): void {
-        const left = (this.prefixes.get(prefixHash) ?? 1) - 1;
-        if (left > 0) {
-            this.prefixes.set(prefixHash, left);
+        const remaining = (this.prefixes.get(prefixHash) ?? 1) - 1;
+        if (remaining > 0) {
+            this.prefixes.set(prefixHash, remaining);
         } else {
             this.prefixes.delete(prefixHash);
         }
--- a/src/decisions/retries/retryBudget.ts
+++ b/src/decisions/retries/retryBudget.ts
@@ -23,15 +23,15 @@
 
 /** Counts first attempts and retries, and grants a retry while the ratio allows it. */
 export class RetryBudget {
-    private readonly all: TryWindow;
-    private readonly byAccount = new Map<string, TryWindow>();
+    private readonly all: AttemptWindow;
+    private readonly byAccount = new Map<string, AttemptWindow>();
 
     /** `windowMs`: window over which first attempts and retries are counted, in milliseconds. */
     public constructor(
         private floors: RetryFloors = defaultFloors,
         private readonly windowMs = defaultWindowMs,
     ) {
-        this.all = new TryWindow(windowMs);
+        this.all = new AttemptWindow(windowMs);
     }
 
     /** Updates the floors. Where routers share a budget, each router's floor depends on the number of routers. */
@@ -48,7 +48,7 @@
     public takeRetry(clientAccount: string, ratio: number, nowMs: number): boolean {
         const own = this.getWindow(clientAccount);
         const { perAccount, perRouter } = this.floors;
-        if (!own.hasRoom(nowMs, ratio, perAccount) || !this.all.hasRoom(nowMs, ratio, perRouter)) {
+        if (!own.hasCapacity(nowMs, ratio, perAccount) || !this.all.hasCapacity(nowMs, ratio, perRouter)) {
             return false;
         }
         own.add(nowMs, "retry");
@@ -56,10 +56,10 @@
         return true;
     }
 
-    private getWindow(clientAccount: string): TryWindow {
+    private getWindow(clientAccount: string): AttemptWindow {
         let window = this.byAccount.get(clientAccount);
         if (window === undefined) {
-            window = new TryWindow(this.windowMs);
+            window = new AttemptWindow(this.windowMs);
             this.byAccount.set(clientAccount, window);
         }
         return window;
@@ -67,7 +67,7 @@
 }
 
 /** Sliding counts, in buckets of a tenth of the window. */
-class TryWindow {
+class AttemptWindow {
     private readonly firsts = new Array<number>(bucketCount).fill(0);
     private readonly retries = new Array<number>(bucketCount).fill(0);
     private readonly bucketMs: number;
@@ -91,7 +91,7 @@
         }
     }
 
-    public hasRoom(nowMs: number, ratio: number, minRetries: number): boolean {
+    public hasCapacity(nowMs: number, ratio: number, minRetries: number): boolean {
         this.advance(nowMs);
         return this.retryTotal < Math.max(minRetries, ratio * this.firstTotal);
     }
@@ -114,10 +114,10 @@
  * Fraction of the fleet's retry slack that is divided among the routers; the rest allows for routers that count
  * different numbers of peers.
  */
-const usedSlack = 0.6;
+const usedSlackFraction = 0.6;
 
 /** This router's part of the retries that the fleet may send beyond the ratio. */
 export function computeRetryFloors(slack: number, { routerIds, unheard }: RouterView): RetryFloors {
-    const perRouter = (slack * usedSlack) / (routerIds.length + unheard);
+    const perRouter = (slack * usedSlackFraction) / (routerIds.length + unheard);
     return { perAccount: perRouter, perRouter };
 }
--- a/src/decisions/rollouts/exposureBudget.ts
+++ b/src/decisions/rollouts/exposureBudget.ts
@@ -7,13 +7,13 @@
  */
 
 /** Fraction of the exposure share that is used; the rest allows for requests that are sent but never arrive. */
-const usedShare = 0.8;
+const usedShareFraction = 0.8;
 /**
  * Fraction of the slack that is divided among the routers; the rest allows for routers that restart with a full part.
  */
-const usedSlack = 0.3;
+const usedSlackFraction = 0.3;
 /** Maximum credit in requests, so that the version does not receive a burst after a pause. */
-const mostCredit = 4;
+const maxCredit = 4;
 
 /** Limits on the requests to a version that may be faulty. */
 export interface ExposureLimit {
@@ -32,15 +32,15 @@
         private readonly limit: ExposureLimit,
         routerCount: number,
     ) {
-        this.credit = Math.min(1, (limit.slack * usedSlack) / Math.max(1, routerCount));
+        this.credit = Math.min(1, (limit.slack * usedSlackFraction) / Math.max(1, routerCount));
     }
 
     /**
      * Records a request for the service that is sent to a target of any version. `part`: fraction of the budget to use,
      * 0 to 1.
      */
-    public recordRequest(part = 1): void {
-        this.credit = Math.min(mostCredit, this.credit + this.limit.share * usedShare * part);
+    public recordRequest(fraction = 1): void {
+        this.credit = Math.min(maxCredit, this.credit + this.limit.share * usedShareFraction * fraction);
     }
 
     /** Whether the version may receive a request now. */
@@ -53,13 +53,13 @@
         this.credit -= 1;
     }
 
-    /** Whether the credit is nearly at its maximum, so that the next request may be sent to the version. */
+    /** Whether the credit is within one request of its maximum. */
     public get isFull(): boolean {
-        return this.credit >= mostCredit - 1;
+        return this.credit >= maxCredit - 1;
     }
 
     /** Reverts {@link recordExposed} for a request that was not sent to the version. */
     public recordUnsent(): void {
-        this.credit = Math.min(mostCredit, this.credit + 1);
+        this.credit = Math.min(maxCredit, this.credit + 1);
     }
 }
--- a/src/decisions/rollouts/rolloutJudge.ts
+++ b/src/decisions/rollouts/rolloutJudge.ts
@@ -19,27 +19,27 @@
     | "open";
 
 /** Increase of a rate over all routes that the test has to detect. */
-const pooledRise = 0.1;
+const pooledIncrease = 0.1;
 /** Increase that the test has to detect on a single route, which has fewer requests. */
-const routeRise = 0.28;
-const slownessRise = 0.3;
+const routeIncrease = 0.28;
+const slownessIncrease = 0.3;
 /**
  * Even a sound version fails occasionally, and some of its responses are slow. These minimum rates also apply if its
  * baseline has no such events yet.
  */
-const leastFailureRate = 0.02;
-const leastSlowRate = 0.04;
+const minFailureRate = 0.02;
+const minSlowRate = 0.04;
 /** A baseline with a higher rate has problems of its own and is no reference. */
-const mostBaselineRate = 0.4;
+const maxBaselineRate = 0.4;
 const falseAlarmRate = 0.0005;
 const missRate = 0.05;
 /** Minimum requests before a version without observed faults counts as likely good. */
-const leastLikelySamples = 8;
+const minLikelySamples = 8;
 /** Routes with a smaller fraction of all requests are only tested together with the others. */
-const leastRoutePart = 0.03;
+const minRouteFraction = 0.03;
 
 /** Within this time in milliseconds, routers report the same crash and detect whether the target has survived it. */
-const breakSpanMs = 5_000;
+const disconnectWindowMs = 5_000;
 
 interface RouteTests {
     readonly failures: SequentialTest;
@@ -50,7 +50,7 @@
 export class RolloutJudge {
     /** The newest report of each router incarnation; the counts in it only increase. */
     private readonly reports = new Map<string, RolloutEvidence>();
-    private readonly breakCountedAtMs = new Map<number, number>();
+    private readonly disconnectCountedAtMs = new Map<number, number>();
     private readonly pooled = createTests();
     private readonly routes = new Map<string, RouteTests>();
     private baseline = new Map<string, VersionCounts>();
@@ -60,21 +60,21 @@
     public apply(reporter: string, evidence: RolloutEvidence, nowMs: number): void {
         const before = this.reports.get(reporter);
         this.reports.set(reporter, evidence);
-        let breaks = this.countNewBreaks(evidence, before, nowMs);
+        let disconnects = this.countNewDisconnects(evidence, before, nowMs);
         for (const route of evidence.routes) {
             const known = before?.routes.find(other => other.route === route.route);
             const { baseline, candidate: added } = computeIncrease(route, known);
             this.baseline.set(route.route, addCounts(this.baseline.get(route.route), baseline));
             this.candidate.set(route.route, addCounts(this.candidate.get(route.route), added));
             if (added.requests > 0 || added.failures > 0) {
-                this.observe(route.route, added, breaks);
-                breaks = 0;
+                this.observe(route.route, added, disconnects);
+                disconnects = 0;
             }
         }
     }
 
     public get verdict(): RolloutVerdict {
-        const routes = [...this.routes].filter(([route]) => this.isJudgedAlone(route));
+        const routes = [...this.routes].filter(([route]) => this.isTestedIndividually(route));
         const plans = this.createPlans();
         const results = routes.flatMap(([route, tests]) => {
             const { failures, slow } = this.createRoutePlans(route);
@@ -84,21 +84,23 @@
         if (results.includes("faulty") || this.hasFaultyRoute) {
             return "bad";
         }
-        const unseen = [...this.baseline.keys()].filter(route => this.isJudgedAlone(route) && !this.routes.has(route));
-        if (unseen.length === 0 && results.every(result => result === "sound")) {
+        const unobserved = [...this.baseline.keys()].filter(
+            route => this.isTestedIndividually(route) && !this.routes.has(route),
+        );
+        if (unobserved.length === 0 && results.every(result => result === "sound")) {
             return "good";
         }
         const tests = [this.pooled, ...routes.map(([, test]) => test)];
         const isLikely = tests.every(
             (test, index) =>
-                test.failures.isLikelySound(index === 0 ? leastLikelySamples : 1) && test.slow.isLikelySound(1),
+                test.failures.isLikelySound(index === 0 ? minLikelySamples : 1) && test.slow.isLikelySound(1),
         );
         return isLikely ? "likely-good" : "open";
     }
 
     /** Totals of both versions over all routes, for operators. */
     public get totals(): { readonly candidate: VersionCounts; readonly baseline: VersionCounts } {
-        return { candidate: addAll(this.candidate), baseline: addAll(this.baseline) };
+        return { candidate: addAllCounts(this.candidate), baseline: addAllCounts(this.baseline) };
     }
 
     /** Totals by route, for operators. */
@@ -118,9 +120,13 @@
         });
     }
 
-    private observe(route: string, { requests, failures, timed, slow }: VersionCounts, breaks: number): void {
+    private observe(route: string, { requests, failures, timed, slow }: VersionCounts, disconnects: number): void {
         const plans = this.createPlans();
-        this.pooled.failures.observe(plans.failures, Math.max(requests, failures + breaks), failures + breaks);
+        this.pooled.failures.observe(
+            plans.failures,
+            Math.max(requests, failures + disconnects),
+            failures + disconnects,
+        );
         this.pooled.slow.observe(plans.slow, timed, slow);
         const tests = this.routes.get(route) ?? createTests();
         this.routes.set(route, tests);
@@ -133,34 +139,34 @@
      * Counts at most one disconnect per target and window: a target that crashes disconnects the requests of all
      * routers, which is a single event.
      */
-    private countNewBreaks(evidence: RolloutEvidence, before: RolloutEvidence | undefined, nowMs: number): number {
+    private countNewDisconnects(evidence: RolloutEvidence, before: RolloutEvidence | undefined, nowMs: number): number {
         const counted = evidence.breaks.filter(({ targetHash, breaks }) => {
             const known = before?.breaks.find(other => other.targetHash === targetHash)?.breaks ?? 0;
-            const lastAtMs = this.breakCountedAtMs.get(targetHash) ?? Number.NEGATIVE_INFINITY;
-            return breaks > known && nowMs - lastAtMs >= breakSpanMs;
+            const lastAtMs = this.disconnectCountedAtMs.get(targetHash) ?? Number.NEGATIVE_INFINITY;
+            return breaks > known && nowMs - lastAtMs >= disconnectWindowMs;
         });
-        counted.forEach(({ targetHash }) => this.breakCountedAtMs.set(targetHash, nowMs));
+        counted.forEach(({ targetHash }) => this.disconnectCountedAtMs.set(targetHash, nowMs));
         return counted.length;
     }
 
-    private isJudgedAlone(route: string): boolean {
-        const all = addAll(this.baseline).requests;
-        return (this.baseline.get(route)?.requests ?? 0) >= leastRoutePart * all;
+    private isTestedIndividually(route: string): boolean {
+        const all = addAllCounts(this.baseline).requests;
+        return (this.baseline.get(route)?.requests ?? 0) >= minRouteFraction * all;
     }
 
     private createPlans(): { readonly failures: TestPlan; readonly slow: TestPlan } {
-        const total = addAll(this.baseline);
+        const total = addAllCounts(this.baseline);
         return {
-            failures: createPlan(computeRate(total.failures, total.requests, leastFailureRate), pooledRise),
-            slow: createPlan(computeRate(total.slow, total.timed, leastSlowRate), slownessRise),
+            failures: createPlan(computeRate(total.failures, total.requests, minFailureRate), pooledIncrease),
+            slow: createPlan(computeRate(total.slow, total.timed, minSlowRate), slownessIncrease),
         };
     }
 
     private createRoutePlans(route: string): { readonly failures: TestPlan; readonly slow: TestPlan } {
         const total = this.baseline.get(route) ?? noCounts;
         return {
-            failures: createPlan(computeRate(total.failures, total.requests, leastFailureRate), routeRise),
-            slow: createPlan(computeRate(total.slow, total.timed, leastSlowRate), slownessRise),
+            failures: createPlan(computeRate(total.failures, total.requests, minFailureRate), routeIncrease),
+            slow: createPlan(computeRate(total.slow, total.timed, minSlowRate), slownessIncrease),
         };
     }
 }
@@ -169,14 +175,17 @@
     return { failures: new SequentialTest(), slow: new SequentialTest() };
 }
 
-function createPlan(soundRate: number, rise: number): TestPlan {
-    return { soundRate, faultyRate: Math.min(0.98, soundRate + rise), falseAlarmRate, missRate };
+function createPlan(soundRate: number, increase: number): TestPlan {
+    return { soundRate, faultyRate: Math.min(0.98, soundRate + increase), falseAlarmRate, missRate };
 }
 
 /** The baseline's rate with some samples at the usual rate added, because the baseline has few samples at first. */
-function computeRate(events: number, samples: number, usual: number): number {
+function computeRate(events: number, samples: number, usualRate: number): number {
     const priorSamples = 30;
-    return Math.min(mostBaselineRate, Math.max(usual, (events + usual * priorSamples) / (samples + priorSamples)));
+    return Math.min(
+        maxBaselineRate,
+        Math.max(usualRate, (events + usualRate * priorSamples) / (samples + priorSamples)),
+    );
 }
 
 function computeIncrease(route: RouteEvidence, known: RouteEvidence | undefined): RouteEvidence {
@@ -202,6 +211,6 @@
     };
 }
 
-function addAll(counts: ReadonlyMap<string, VersionCounts>): VersionCounts {
+function addAllCounts(counts: ReadonlyMap<string, VersionCounts>): VersionCounts {
     return [...counts.values()].reduce((sum, added) => addCounts(sum, added), noCounts);
 }
--- a/src/decisions/rollouts/rolloutPlan.ts
+++ b/src/decisions/rollouts/rolloutPlan.ts
@@ -55,19 +55,19 @@
 /** Fraction of the requests that the new version receives in the `ramp` step. */
 export const rampShare = 0.3;
 /** Fractions of the roll-out's duration. */
-const watchPart = 0.6;
+const watchFraction = 0.6;
 /**
  * From this fraction on, a version without evidence against it need not be proven sound with the full error rates of
  * the tests.
  */
-const likelyCanaryPart = 0.62;
-const rampPart = 0.08;
+const likelyCanaryFraction = 0.62;
+const rampFraction = 0.08;
 /** From this fraction on, requests still running at the old version are no longer waited for. */
-const lastPart = 0.93;
-const leastRampMs = 600;
-const leastSwitchMs = 400;
+const maxWaitFraction = 0.93;
+const minRampMs = 600;
+const minSwitchMs = 400;
 /** With a lower ratio, the new version could not serve the old version's load. */
-const leastCapacityRatio = 0.5;
+const minCapacityRatio = 0.5;
 
 /** Chooses the next step or the outcome; undefined if the roll-out stays in its current step. */
 export function chooseNextStep(progress: RolloutProgress): RolloutDecision | undefined {
@@ -83,8 +83,8 @@
         case "watch":
             return chooseAfterWatch(progress);
         case "ramp":
-            return progress.stepAgeMs >= Math.max(leastRampMs, rampPart * progress.durationMs)
-                ? { next: "switch", reason: "no fault shows at a part of the load" }
+            return progress.stepAgeMs >= Math.max(minRampMs, rampFraction * progress.durationMs)
+                ? { next: "switch", reason: "no fault was observed at a part of the load" }
                 : undefined;
         case "switch":
             return chooseAfterSwitch(progress);
@@ -96,26 +96,26 @@
     if (verdict === "good") {
         return { next: "watch", reason: "the version is shown to be sound" };
     }
-    if (verdict === "likely-good" && ageMs >= likelyCanaryPart * durationMs) {
-        return { next: "watch", reason: "nothing speaks against the version" };
+    if (verdict === "likely-good" && ageMs >= likelyCanaryFraction * durationMs) {
+        return { next: "watch", reason: "there is no evidence against the version" };
     }
     return ageMs < durationMs
         ? undefined
-        : { next: "rolled-back", reason: "too few requests showed whether the version is sound" };
+        : { next: "rolled-back", reason: "too few requests to show whether the version is sound" };
 }
 
 function chooseAfterWatch(progress: RolloutProgress): RolloutDecision | undefined {
     const { verdict, ageMs, durationMs, capacityRatio } = progress;
     const isSound = verdict === "good" || verdict === "likely-good";
-    if (isSound && ageMs >= watchPart * durationMs && capacityRatio >= leastCapacityRatio) {
-        return { next: "ramp", reason: "no fault showed since" };
+    if (isSound && ageMs >= watchFraction * durationMs && capacityRatio >= minCapacityRatio) {
+        return { next: "ramp", reason: "no fault was observed since" };
     }
     if (ageMs < durationMs) {
         return undefined;
     }
-    return capacityRatio < leastCapacityRatio
-        ? { next: "rolled-back", reason: "too few targets of the version take requests" }
-        : { next: "rolled-back", reason: "a fault showed late, and may be one of the version" };
+    return capacityRatio < minCapacityRatio
+        ? { next: "rolled-back", reason: "too few targets of the version accept requests" }
+        : { next: "rolled-back", reason: "a fault appeared late and may be caused by the version" };
 }
 
 function chooseAfterSwitch({
@@ -124,13 +124,13 @@
     durationMs,
     isOldVersionIdle,
 }: RolloutProgress): RolloutDecision | undefined {
-    if (stepAgeMs < leastSwitchMs) {
+    if (stepAgeMs < minSwitchMs) {
         return undefined;
     }
     if (isOldVersionIdle) {
         return { next: "complete", reason: "nothing runs at the old version any more" };
     }
-    return ageMs >= lastPart * durationMs
-        ? { next: "complete", reason: "the time for the roll-out is nearly over" }
+    return ageMs >= maxWaitFraction * durationMs
+        ? { next: "complete", reason: "the time limit of the roll-out is nearly reached" }
         : undefined;
 }
--- a/src/decisions/rollouts/sequentialTest.ts
+++ b/src/decisions/rollouts/sequentialTest.ts
@@ -21,7 +21,7 @@
  * Log-likelihood ratio of the newest samples from which a fault may have begun, equivalent to two or three consecutive
  * events.
  */
-const leastDoubt = 1.5;
+const suspectedFaultLogRatio = 1.5;
 
 /** Result of the test for the samples so far. */
 export type TestResult = "sound" | "faulty" | "open";
@@ -41,7 +41,7 @@
      * Log-likelihood ratio since it was last at 0, so that a long sound period does not outweigh a fault that begins
      * later.
      */
-    private sinceSound = 0;
+    private recentLogRatio = 0;
     private samples = 0;
     private isFaulty = false;
 
@@ -50,20 +50,25 @@
         const ratio = computeLogRatio(plan, samples, events);
         this.samples += samples;
         this.logRatio += ratio;
-        this.sinceSound = Math.max(0, this.sinceSound + ratio);
-        this.isFaulty ||= this.sinceSound >= Math.log((1 - plan.missRate) / plan.falseAlarmRate);
+        this.recentLogRatio = Math.max(0, this.recentLogRatio + ratio);
+        this.isFaulty ||= this.recentLogRatio >= Math.log((1 - plan.missRate) / plan.falseAlarmRate);
     }
 
     public getResult(plan: TestPlan): TestResult {
         if (this.isFaulty) {
             return "faulty";
         }
-        const isShown = this.logRatio <= Math.log(plan.missRate / (1 - plan.falseAlarmRate));
-        return isShown && this.sinceSound < leastDoubt ? "sound" : "open";
+        const isProvenSound = this.logRatio <= Math.log(plan.missRate / (1 - plan.falseAlarmRate));
+        return isProvenSound && this.recentLogRatio < suspectedFaultLogRatio ? "sound" : "open";
     }
 
     /** Whether the samples indicate a sound population, possibly not yet with the error rates of the plan. */
-    public isLikelySound(leastSamples: number): boolean {
-        return !this.isFaulty && this.samples >= leastSamples && this.logRatio < 0 && this.sinceSound < leastDoubt;
+    public isLikelySound(minSamples: number): boolean {
+        return (
+            !this.isFaulty &&
+            this.samples >= minSamples &&
+            this.logRatio < 0 &&
+            this.recentLogRatio < suspectedFaultLogRatio
+        );
     }
 }
--- a/src/decisions/rollouts/versionEvidence.ts
+++ b/src/decisions/rollouts/versionEvidence.ts
@@ -45,14 +45,14 @@
 /** Counts a router's results for both versions. */
 export class EvidenceCounter {
     private readonly routes = new Map<string, RouteEvidence>();
-    private readonly breaks = new Map<number, number>();
+    private readonly disconnects = new Map<number, number>();
 
     public observe({ route, isCandidate, targetHash, result, isSlow }: VersionSample): void {
-        const before = this.routes.get(route) ?? { route, candidate: noCounts, baseline: noCounts };
+        const previous = this.routes.get(route) ?? { route, candidate: noCounts, baseline: noCounts };
         const side = isCandidate ? "candidate" : "baseline";
-        const counts = before[side];
+        const counts = previous[side];
         this.routes.set(route, {
-            ...before,
+            ...previous,
             [side]: {
                 requests: counts.requests + 1,
                 failures: counts.failures + (result === "failed" ? 1 : 0),
@@ -61,7 +61,7 @@
             },
         });
         if (isCandidate && result === "broken") {
-            this.breaks.set(targetHash, (this.breaks.get(targetHash) ?? 0) + 1);
+            this.disconnects.set(targetHash, (this.disconnects.get(targetHash) ?? 0) + 1);
         }
     }
 
@@ -70,18 +70,18 @@
      * crash.
      */
     public recordBreakFailures(route: string, count: number): void {
-        const before = this.routes.get(route);
-        if (before !== undefined) {
-            const { candidate } = before;
+        const previous = this.routes.get(route);
+        if (previous !== undefined) {
+            const { candidate } = previous;
             const failures = candidate.failures + count;
-            this.routes.set(route, { ...before, candidate: { ...candidate, failures } });
+            this.routes.set(route, { ...previous, candidate: { ...candidate, failures } });
         }
     }
 
     public get evidence(): RolloutEvidence {
         return {
             routes: [...this.routes.values()],
-            breaks: [...this.breaks].map(([targetHash, breaks]) => ({ targetHash, breaks })),
+            breaks: [...this.disconnects].map(([targetHash, breaks]) => ({ targetHash, breaks })),
         };
     }
 }
--- a/test/decisions/health/circuitBreaker.test.ts
+++ b/test/decisions/health/circuitBreaker.test.ts
@@ -5,7 +5,7 @@
 describe("CircuitBreaker", () => {
     // Limits the errors that callers receive from one failing target to five. The target fails requests immediately and
     // so always has capacity; the circuit opens, allows one probe after each pause, and closes after the first output.
-    it("opens after five failures, probes alone with growing pauses, and closes on output", () => {
+    it("opens after five failures, sends single probes with growing pauses, and closes on output", () => {
         const circuit = new CircuitBreaker(new SeededRandom(1));
         const log: string[] = [];
         for (let index = 0; index < 5; index += 1) {
--- a/test/decisions/health/engineSignals.test.ts
+++ b/test/decisions/health/engineSignals.test.ts
@@ -4,7 +4,7 @@
 const seed = 1;
 
 // A quarter of the engines leave, or refuse all requests with Retry-After, while their records remain ready.
-it.each(fleetSizes)("$routerCount routers send nothing late to engines that leave, and nothing in pauses", size => {
+it.each(fleetSizes)("$routerCount routers send no late requests to leaving engines, and none during pauses", size => {
     const [leaving, pausing] = measureSignals(size, "answers-and-peers", seed);
     expect({ sentLate: leaving.sentLate, cut: leaving.cut, sentInPause: pausing.sentInPause }).toEqual({
         sentLate: 0,
--- a/test/decisions/health/lapsePolicy.test.ts
+++ b/test/decisions/health/lapsePolicy.test.ts
@@ -12,25 +12,31 @@
 
 // If every target were kept until its record could have reappeared, a target that has left would receive requests
 // beyond the allowed time.
-it("keeps a target until its record is back or a departure binds, whichever is first", () => {
+it("keeps a target until its record may have reappeared or a departure takes effect, whichever is first", () => {
     const outage = { lastCallAtMs: 9_500, answeredAtMs: 9_900 };
     expect({
         "no outage": computeKeptMs({ coveredUntilMs: 9_000, outage: undefined }),
-        "just back": computeKeptMs({ coveredUntilMs: 4_000, outage }),
-        "still away": computeKeptMs({ coveredUntilMs: 4_000, outage: { ...outage, answeredAtMs: undefined } }),
-        "noticed late": computeKeptMs({ coveredUntilMs: 4_000, outage: { lastCallAtMs: 7_500, answeredAtMs: 9_900 } }),
-        "read since": computeKeptMs({ coveredUntilMs: 9_900, outage: { lastCallAtMs: 7_500, answeredAtMs: 8_500 } }),
-        "long ago": computeKeptMs({ coveredUntilMs: 9_000, outage: { lastCallAtMs: 3_000, answeredAtMs: 3_500 } }),
+        "just recovered": computeKeptMs({ coveredUntilMs: 4_000, outage }),
+        "still unavailable": computeKeptMs({ coveredUntilMs: 4_000, outage: { ...outage, answeredAtMs: undefined } }),
+        "detected late": computeKeptMs({ coveredUntilMs: 4_000, outage: { lastCallAtMs: 7_500, answeredAtMs: 9_900 } }),
+        "changes read since": computeKeptMs({
+            coveredUntilMs: 9_900,
+            outage: { lastCallAtMs: 7_500, answeredAtMs: 8_500 },
+        }),
+        "outage long ago": computeKeptMs({
+            coveredUntilMs: 9_000,
+            outage: { lastCallAtMs: 3_000, answeredAtMs: 3_500 },
+        }),
         "nothing read before": computeKeptMs({ coveredUntilMs: undefined, outage }),
     }).toMatchInlineSnapshot(`
       {
-        "just back": 2200,
-        "long ago": 0,
+        "changes read since": 800,
+        "detected late": 200,
+        "just recovered": 2200,
         "no outage": 0,
         "nothing read before": 2200,
-        "noticed late": 200,
-        "read since": 800,
-        "still away": 2200,
+        "outage long ago": 0,
+        "still unavailable": 2200,
       }
     `);
 });
--- a/test/decisions/health/targetAvailability.property.test.ts
+++ b/test/decisions/health/targetAvailability.property.test.ts
@@ -22,7 +22,7 @@
 
 describe("a target's availability", () => {
     // Evidence arrives late, repeatedly and in any order; none of it may reopen a target that is leaving or in a pause.
-    it("stays closed from the first evidence on, and until the latest end of its pauses", () => {
+    it("stays closed from the first evidence on, or until the latest end of its pauses", () => {
         fc.assert(
             fc.property(steps, sequence => {
                 const availability = new TargetAvailability();
@@ -59,7 +59,7 @@
     }
 
     // If all queued requests were sent at the end of the pause, the target would refuse requests again at once.
-    it("lets one request through, then more with each answer, then all", () => {
+    it("allows one request, then more with each response, then all", () => {
         const pause = new TargetPause();
         pause.record(500, 0);
         const counts = [countSends(pause, 499), countSends(pause, 500)];
@@ -78,7 +78,7 @@
         `);
     });
 
-    it("begins anew after a further pause", () => {
+    it("restarts the slow start after a further pause", () => {
         const pause = new TargetPause();
         pause.record(500, 0);
         countSends(pause, 500);
--- a/test/decisions/limits/coldLimit.property.test.ts
+++ b/test/decisions/limits/coldLimit.property.test.ts
@@ -9,7 +9,7 @@
     // A target has just started, and all routers have work for it. They do not coordinate, and some have not received
     // messages from some of the others. In no second may the target receive more from all of them together than it can
     // handle.
-    it("holds over all routers, also while some have not heard of others", () => {
+    it("applies to all routers together, also while some have not received messages from others", () => {
         fc.assert(
             fc.property(
                 fc.integer({ min: 2, max: 60 }),
@@ -19,15 +19,15 @@
                 fc.string({ minLength: 1, maxLength: 8 }),
                 fc.array(fc.nat(3_000), { minLength: 100, maxLength: 400 }),
                 fc.integer({ min: 0, max: 1 }),
-                (count, requestsPerSecond, overage, slack, targetId, arrivals, unheardPeers) => {
+                (count, requestsPerSecond, overage, slack, targetId, arrivals, missingPeers) => {
                     const ids = [...Array(count).keys()].map(index => `router-${index}`);
                     const rate = { requestsPerSecond, overage, slack };
                     const limiters = ids.map(() => new ColdLimiter());
                     const shares = ids.map((ownId, index) => {
                         // A peer without received messages is still listed as a seed, so its part is reserved for it.
-                        const hidden = unheardPeers === 1 ? ids[(index + 1) % count] : undefined;
+                        const hidden = missingPeers === 1 ? ids[(index + 1) % count] : undefined;
                         const routerIds = ids.filter(id => id !== hidden);
-                        const view: RouterView = { ownId, routerIds, unheard: unheardPeers, isSettled: true };
+                        const view: RouterView = { ownId, routerIds, unheard: missingPeers, isSettled: true };
                         return computeColdShare(targetId, rate, view);
                     });
                     const sent: number[] = [];
@@ -38,19 +38,19 @@
                             sent.push(atMs);
                         }
                     }
-                    const bearable = requestsPerSecond * overage + slack;
-                    const most = Math.max(
+                    const capacity = requestsPerSecond * overage + slack;
+                    const maxSent = Math.max(
                         0,
                         ...sent.map(from => sent.filter(at => at >= from && at < from + secondMs).length),
                     );
-                    expect(most).toBeLessThanOrEqual(bearable);
+                    expect(maxSent).toBeLessThanOrEqual(capacity);
                 },
             ),
             { seed, numRuns: 200 },
         );
     });
 
-    it("is nothing at all for a router that has not had time to hear from the others", () => {
+    it("is zero for a router that has not had time to receive messages from the others", () => {
         const view: RouterView = { ownId: "a", routerIds: ["a"], unheard: 0, isSettled: false };
         expect(computeColdShare("t", { requestsPerSecond: 100, overage: 1, slack: 0 }, view)).toBe(0);
     });
--- a/test/decisions/limits/concurrencyWindow.test.ts
+++ b/test/decisions/limits/concurrencyWindow.test.ts
@@ -51,18 +51,18 @@
 
     // Guards against a target that falls back to its cold limit repeatedly although it is only busy: its first outputs
     // are late at full load, while its reports never say cold.
-    it("learns from false alarms", () => {
+    it("raises the baseline after false alarms", () => {
         const window = createWarmWindow();
         sendOutputs(window, 16, 300, 4_000);
-        const falls: string[] = [];
+        const coldChanges: string[] = [];
         for (let nowMs = 20_000; nowMs < 80_000; nowMs += 1_000) {
             const [change = ""] = sendOutputs(window, 1, 4_000, nowMs);
             window.observeReport(false, nowMs);
             if (change.startsWith("cold")) {
-                falls.push(`${nowMs}`);
+                coldChanges.push(`${nowMs}`);
             }
         }
-        expect(falls).toMatchInlineSnapshot(`
+        expect(coldChanges).toMatchInlineSnapshot(`
           [
             "20000",
           ]
--- a/test/decisions/limits/orderPolicy.test.ts
+++ b/test/decisions/limits/orderPolicy.test.ts
@@ -12,7 +12,7 @@
 
     // An old agent's order must not revert a new agent's. The old agent was paused and resumes; a newer one may have
     // registered meanwhile.
-    it("sends no order on a registration that may be old, unless the target itself checks the number", () => {
+    it("sends no order for a registration that may be outdated, unless the target itself checks fencing numbers", () => {
         const decide = (changes: Partial<OrderSituation>): string => {
             const decision = checkOrder({ ...base, ...changes }, 10_000);
             return decision.decision === "send" ? `send with ${decision.fencing}` : decision.decision;
--- a/test/decisions/limits/weightLoadBucket.test.ts
+++ b/test/decisions/limits/weightLoadBucket.test.ts
@@ -5,18 +5,18 @@
 describe("WeightLoadBucket", () => {
     // Guards against an overload of the weight store. A data centre with 30 targets recovers, and all of them request
     // weights at once and retry as soon as they may; the fleet's loads have to stay within the store's rate.
-    it("keeps a fleet that starts at once to the store's rate", () => {
+    it("limits a fleet that starts at once to the store's rate", () => {
         const agents = [...Array(30).keys()].map(index => ({
             bucket: new WeightLoadBucket(index / 30, new SeededRandom(index)),
-            askAtMs: 0,
+            nextAttemptAtMs: 0,
             done: false,
         }));
         const perMinute = Array.from({ length: 6 }, () => 0);
         for (let nowMs = 0; nowMs < 360_000; nowMs += 100) {
-            for (const agent of agents.filter(entry => !entry.done && entry.askAtMs <= nowMs)) {
+            for (const agent of agents.filter(entry => !entry.done && entry.nextAttemptAtMs <= nowMs)) {
                 const decision = agent.bucket.take(6, 30, nowMs);
                 agent.done = decision.allowed;
-                agent.askAtMs = decision.allowed ? 0 : nowMs + decision.retryAfterMs;
+                agent.nextAttemptAtMs = decision.allowed ? 0 : nowMs + decision.retryAfterMs;
                 perMinute[Math.floor(nowMs / 60_000)] =
                     (perMinute[Math.floor(nowMs / 60_000)] ?? 0) + (decision.allowed ? 1 : 0);
             }
--- a/test/decisions/quarantine/crashLedger.test.ts
+++ b/test/decisions/quarantine/crashLedger.test.ts
@@ -15,16 +15,16 @@
     return { digest, prefixHash: 7, incarnation, weight };
 }
 
-describe("a request that targets ended under", () => {
-    it("is held from the third target on, and by twice as many where it had given output", () => {
+describe("a request whose targets crashed", () => {
+    it("is held after the third target, and after twice as many if it had produced output", () => {
         const fresh = new CrashLedger();
         const proven = new CrashLedger();
-        const standings = [1, 2, 3, 4, 5, 6].map(incarnation => {
+        const statuses = [1, 2, 3, 4, 5, 6].map(incarnation => {
             fresh.record(createEvidence(incarnation), 0);
             proven.record(createEvidence(incarnation, provenRunWeight), 0);
             return `${fresh.check(digest, 0)} ${proven.check(digest, 0)}`;
         });
-        expect(standings).toMatchInlineSnapshot(`
+        expect(statuses).toMatchInlineSnapshot(`
           [
             "suspect clear",
             "strong-suspect suspect",
@@ -36,7 +36,7 @@
         `);
     });
 
-    it("is tried after ten minutes, and held twice as long if that ends a target", () => {
+    it("is probed after ten minutes, and held twice as long if the probe ends a target", () => {
         const ledger = new CrashLedger();
         [1, 2, 3].forEach(incarnation => ledger.record(createEvidence(incarnation), 0));
         const before = [ledger.check(digest, firstHoldMs - 1), ledger.check(digest, firstHoldMs)];
@@ -49,7 +49,7 @@
         });
     });
 
-    it("is cleared by a whole answer, also for evidence that is repeated later", () => {
+    it("is cleared by a complete response, also for evidence that is repeated later", () => {
         const ledger = new CrashLedger();
         [1, 2].forEach(incarnation => ledger.record(createEvidence(incarnation), 0));
         ledger.remove(digest, 10);
@@ -58,7 +58,7 @@
     });
 
     // Reports are sent several times and arrive in any order. If each report counted, two crashes would hold a request.
-    it("stands the same whatever the order and however often crashes are reported", () => {
+    it("has the same status for any order and repetition of crash reports", () => {
         fc.assert(
             fc.property(
                 fc.array(fc.integer({ min: 1, max: 6 }), { maxLength: 30 }),
@@ -67,8 +67,8 @@
                     const ledger = new CrashLedger();
                     const order = isReversed ? [...incarnations].reverse() : incarnations;
                     order.forEach(incarnation => ledger.record(createEvidence(incarnation), 0));
-                    const standings = ["clear", "suspect", "strong-suspect", "held"];
-                    expect(ledger.check(digest, 1)).toBe(standings[Math.min(3, new Set(incarnations).size)]);
+                    const statuses = ["clear", "suspect", "strong-suspect", "held"];
+                    expect(ledger.check(digest, 1)).toBe(statuses[Math.min(3, new Set(incarnations).size)]);
                 },
             ),
         );
@@ -76,7 +76,7 @@
 
     // An account sends many different requests that crash targets. If requests were held independently, each of them
     // would end three targets.
-    it("is held sooner the more requests of its account and path are held, and others as before", () => {
+    it("is held sooner the more requests of its account and path are held, without effect on other paths", () => {
         const ledger = new CrashLedger();
         const countToHold = (name: string, prefixHash: number): number => {
             for (let count = 1; ; count++) {
@@ -89,7 +89,7 @@
         expect({ counts, otherPath: countToHold("x", 8) }).toEqual({ counts: [3, 3, 2, 2, 1], otherPath: 3 });
     });
 
-    it("is the same after a store and a load", () => {
+    it("has the same status after it was stored and loaded", () => {
         const ledger = new CrashLedger();
         [1, 2, 3].forEach(incarnation => ledger.record(createEvidence(incarnation), 0));
         const later = new CrashLedger();
@@ -107,7 +107,7 @@
     engine: number;
     outputAtMs: number;
     endAtMs: number;
-    sendsLeft: number;
+    remainingSends: number;
 }
 
 const engines = 84;
@@ -116,7 +116,7 @@
 const runMs = 30_000;
 
 /** Fraction of harmless streams that are held while `crashedAtOnce` engines crash in each period. */
-function measureHeldInnocents(crashedAtOnce: number, periodMs: number): number {
+function measureHeldHarmless(crashedAtOnce: number, periodMs: number): number {
     const random = new SeededRandom(11);
     const ledger = new CrashLedger();
     const downUntilMs = new Array<number>(engines).fill(0);
@@ -130,11 +130,11 @@
         } while (downUntilMs[stream.engine] > nowMs);
         stream.outputAtMs = nowMs + 400 * random.next();
         stream.endAtMs = stream.outputAtMs + 2_000 * random.next();
-        stream.sendsLeft -= 1;
+        stream.remainingSends -= 1;
     };
     for (let nowMs = 0; nowMs < runMs; nowMs += stepMs) {
         for (let index = 0; index < streamsPerStep; index++) {
-            const stream = { digest: `s${++started}`, engine: 0, outputAtMs: 0, endAtMs: 0, sendsLeft: 4 };
+            const stream = { digest: `s${++started}`, engine: 0, outputAtMs: 0, endAtMs: 0, remainingSends: 4 };
             place(stream, nowMs);
             streams.push(stream);
         }
@@ -150,15 +150,18 @@
             held += ledger.record(evidence, nowMs) ? 1 : 0;
             place(stream, nowMs);
         }
-        streams = streams.filter(({ endAtMs, sendsLeft }) => endAtMs > nowMs && sendsLeft >= 0);
+        streams = streams.filter(({ endAtMs, remainingSends }) => endAtMs > nowMs && remainingSends >= 0);
     }
     return held / started;
 }
 
-describe("harmless streams on engines that crash one after the other", () => {
+describe("harmless streams on engines that crash repeatedly", () => {
     // These streams were running when targets ended, like the request that caused the crashes; if held, they would be
     // refused without reason.
-    it.each([1, 3, 10])("are held in less than one of a thousand cases, %i engines at a time", crashedAtOnce => {
-        expect(measureHeldInnocents(crashedAtOnce, 500)).toBeLessThan(0.001);
-    });
+    it.each([1, 3, 10])(
+        "are held in less than one of a thousand cases with %i engines crashing at a time",
+        crashedAtOnce => {
+            expect(measureHeldHarmless(crashedAtOnce, 500)).toBeLessThan(0.001);
+        },
+    );
 });
--- a/test/decisions/retries/retries.test.ts
+++ b/test/decisions/retries/retries.test.ts
@@ -10,24 +10,24 @@
         // account's continue.
         const budget = new RetryBudget();
         for (let index = 0; index < 1_000; index++) {
-            budget.recordFirstTry(index % 2 === 0 ? "failing" : "calm", 5_000);
+            budget.recordFirstTry(index % 2 === 0 ? "failing" : "steady", 5_000);
         }
         const take = (account: string, atMs: number): number =>
             Array.from({ length: 500 }).filter(() => budget.takeRetry(account, 0.1, atMs)).length;
-        expect([take("failing", 5_500), take("calm", 5_500), take("failing", 14_500)]).toEqual([50, 50, 0]);
+        expect([take("failing", 5_500), take("steady", 5_500), take("failing", 14_500)]).toEqual([50, 50, 0]);
         // Ten seconds later only the floor for an account with little traffic applies.
-        expect([take("failing", 30_000), take("calm", 30_000)]).toEqual([3, 3]);
+        expect([take("failing", 30_000), take("steady", 30_000)]).toEqual([3, 3]);
     });
 });
 
 describe("computeBackoffMs", () => {
-    it("spreads retries over a span that doubles up to two seconds", () => {
+    it("spreads retries over an interval that doubles up to two seconds", () => {
         const random = new SeededRandom(1);
-        const spans = [1, 2, 4, 12].map(retry => {
+        const intervals = [1, 2, 4, 12].map(retry => {
             const delays = Array.from({ length: 1_000 }, () => computeBackoffMs(retry, random));
             return [Math.round(Math.min(...delays)), Math.round(Math.max(...delays))];
         });
-        expect(spans).toMatchInlineSnapshot(`
+        expect(intervals).toMatchInlineSnapshot(`
           [
             [
               0,
@@ -51,7 +51,7 @@
 });
 
 describe("canRetry", () => {
-    it("allows only what does no harm twice or is known not to have run", () => {
+    it("allows only requests that are idempotent or reported as not executed", () => {
         const rows = [true, false].flatMap(idempotent =>
             (["not-run", "unknown", "ran"] as const).map(execution => {
                 const verdict = canRetry({ idempotent, execution, attempt: 1, boundToHome: false });
@@ -74,10 +74,10 @@
     });
 });
 
-describe("a retry budget over a window of its own", () => {
+describe("a retry budget with a configured window", () => {
     // A deployment counts retries over four seconds. With ten, first attempts from long ago would permit a burst of
     // retries now.
-    it("forgets first tries that are older than the window", () => {
+    it("ignores first attempts that are older than the window", () => {
         const budget = new RetryBudget({ perAccount: 0, perRouter: 0 }, 4_000);
         for (let index = 0; index < 10; index++) {
             budget.recordFirstTry("north", 0);
--- a/test/decisions/rollouts/exposureBudget.property.test.ts
+++ b/test/decisions/rollouts/exposureBudget.property.test.ts
@@ -6,19 +6,19 @@
 const limit = { share: 0.1, slack: 50 };
 
 // Routers start, stop and restart without exchanging messages; the sum of what they send must stay within the limit.
-it("the routers' budgets together stay within the exposure, whoever starts and ends", () => {
+it("the routers' budgets together stay within the exposure when routers start and stop", () => {
     fc.assert(
         fc.property(
             fc.integer({ min: 1, max: 60 }),
             fc.array(fc.record({ router: fc.nat(59), starts: fc.boolean() }), { maxLength: 2_000 }),
             fc.nat(40),
-            (routers, requests, mostStarts) => {
+            (routers, requests, maxStarts) => {
                 const budgets = [...Array(routers)].map(() => new ExposureBudget(limit, routers));
                 let starts = 0;
                 let exposed = 0;
                 for (const { router, starts: isNew } of requests) {
                     const index = router % routers;
-                    if (isNew && starts < mostStarts) {
+                    if (isNew && starts < maxStarts) {
                         starts += 1;
                         budgets[index] = new ExposureBudget(limit, routers);
                     }
--- a/test/decisions/rollouts/rolloutJudge.test.ts
+++ b/test/decisions/rollouts/rolloutJudge.test.ts
@@ -9,12 +9,12 @@
 /** Applies samples one by one, each with a sound sample of the old version, and returns the verdict after each. */
 function listVerdicts(samples: readonly VersionSample[]): readonly string[] {
     const counter = new EvidenceCounter();
-    const judged = new RolloutJudge();
+    const evaluator = new RolloutJudge();
     return samples.map((next, index) => {
         counter.observe({ ...sample, route: next.route, isCandidate: false });
         counter.observe(next);
-        judged.apply("router-1", counter.evidence, index * 50);
-        return judged.verdict;
+        evaluator.apply("router-1", counter.evidence, index * 50);
+        return evaluator.verdict;
     });
 }
 
@@ -24,11 +24,11 @@
 }
 
 describe("a new version", () => {
-    it("that fails as rarely as the old one is good", () => {
+    it("that fails as rarely as the old one is judged good", () => {
         expect(listVerdicts(createSamples(120, () => ({}))).at(-1)).toBe("good");
     });
 
-    it("whose answers fail is bad, also when that begins after a long sound time", () => {
+    it("whose responses fail is judged bad, also if the failures begin after a long sound period", () => {
         const verdicts = listVerdicts(
             createSamples(400, (random, index) => (index > 300 && random.next() < 0.4 ? { result: "failed" } : {})),
         );
@@ -36,7 +36,7 @@
         expect(verdicts.at(-1)).toBe("bad");
     });
 
-    it("that fails on one of several routes is bad", () => {
+    it("that fails on one of several routes is judged bad", () => {
         const verdicts = listVerdicts(
             createSamples(200, (random, index) => ({
                 route: ["a", "b", "c"][index % 3],
@@ -46,21 +46,21 @@
         expect(verdicts.at(-1)).toBe("bad");
     });
 
-    it("that is slow on a part of its answers is bad", () => {
+    it("that is slow for a part of its responses is judged bad", () => {
         const verdicts = listVerdicts(createSamples(200, random => ({ isSlow: random.next() < 0.5 })));
         expect(verdicts.at(-1)).toBe("bad");
     });
 
     // A target that crashes disconnects all its requests at once. If they counted as separate failures, each crash
     // would end a roll-out.
-    it("one of whose targets crashes is not bad", () => {
+    it("is not judged bad when one of its targets crashes", () => {
         const verdicts = listVerdicts(
             createSamples(200, (...[, index]) => (index > 50 && index < 60 ? { result: "broken" } : {})),
         );
         expect(verdicts).not.toContain("bad");
     });
 
-    it("is not judged good while a route has not been seen", () => {
+    it("is not judged good while a route has no requests", () => {
         const counter = new EvidenceCounter();
         const judged = new RolloutJudge();
         for (let index = 0; index < 200; index++) {
@@ -73,7 +73,7 @@
     });
 
     // Routers restart with counts that begin at zero; what they reported before must not be subtracted.
-    it("keeps what a router reported before it started anew", () => {
+    it("keeps what a router reported before its restart", () => {
         const judged = new RolloutJudge();
         const before = new EvidenceCounter();
         before.observe(sample);
