--- a/src/decisions/health/availabilityRegistry.ts
+++ b/src/decisions/health/availabilityRegistry.ts
@@ -52,17 +52,17 @@
         if (startedAtMs === undefined) {
             return true;
         }
-        const starts = this.starts.get(idHash);
-        if (starts === undefined) {
+        const targetStarts = this.starts.get(idHash);
+        if (targetStarts === undefined) {
             this.starts.set(idHash, { current: startedAtMs, past: [] });
             return true;
         }
-        if (starts.past.includes(startedAtMs)) {
+        if (targetStarts.past.includes(startedAtMs)) {
             return false;
         }
-        if (starts.current !== startedAtMs) {
-            starts.past = [starts.current, ...starts.past].slice(0, maxPastStarts);
-            starts.current = startedAtMs;
+        if (targetStarts.current !== startedAtMs) {
+            targetStarts.past = [targetStarts.current, ...targetStarts.past].slice(0, maxPastStarts);
+            targetStarts.current = startedAtMs;
         }
         return true;
     }
--- a/src/decisions/rollouts/sequentialTest.ts
+++ b/src/decisions/rollouts/sequentialTest.ts
@@ -21,7 +21,7 @@
  * Log-likelihood ratio of the newest samples from which a fault may have begun, equivalent to two or three consecutive
  * events.
  */
-const suspectedFaultLogRatio = 1.5;
+const suspectLogRatio = 1.5;
 
 /** Result of the test for the samples so far. */
 export type TestResult = "sound" | "faulty" | "open";
@@ -59,16 +59,13 @@
             return "faulty";
         }
         const isProvenSound = this.logRatio <= Math.log(plan.missRate / (1 - plan.falseAlarmRate));
-        return isProvenSound && this.recentLogRatio < suspectedFaultLogRatio ? "sound" : "open";
+        return isProvenSound && this.recentLogRatio < suspectLogRatio ? "sound" : "open";
     }
 
     /** Whether the samples indicate a sound population, possibly not yet with the error rates of the plan. */
     public isLikelySound(minSamples: number): boolean {
         return (
-            !this.isFaulty &&
-            this.samples >= minSamples &&
-            this.logRatio < 0 &&
-            this.recentLogRatio < suspectedFaultLogRatio
+            !this.isFaulty && this.samples >= minSamples && this.logRatio < 0 && this.recentLogRatio < suspectLogRatio
         );
     }
 }
--- a/src/decisions/shares/accountShares.ts
+++ b/src/decisions/shares/accountShares.ts
@@ -190,7 +190,7 @@
      * other routers' reports are missing or too old.
      */
     public computeOwnPart(account: string): number {
-        const { totals: totals } = this;
+        const { totals } = this;
         const requested = totals?.usages.get(account)?.asked ?? 0;
         return totals === undefined || totals.ageMs > maxFractionAgeMs || requested <= 0
             ? 0
@@ -214,7 +214,7 @@
 
     private computeTotals(peers: readonly ReportedRouter[], nowMs: number): FleetTotals {
         const own = this.listOwn(nowMs);
-        const requestedHere = [...own.accounts.values()].reduce((sum, use) => sum + use.asked, 0);
+        const requestedHere = [...own.accounts.values()].reduce((sum, usage) => sum + usage.asked, 0);
         const estimate = new PeerEstimate(peers, { windowMs: this.windowMs, recentMs: recentWindowMs }, requestedHere);
         const usages = new Map<string, AccountUse>();
         let recentlyServed = 0;
@@ -229,12 +229,12 @@
         // A router that has just started has little data of its own, but the other routers' counters cover their whole
         // window.
         const coveredMs = Math.max(minCoveredMs, own.coveredMs, ...peers.map(peer => peer.coveredMs));
-        const ownAsked = new Map([...own.accounts].map(([name, use]) => [name, use.asked]));
+        const ownRequested = new Map([...own.accounts].map(([name, usage]) => [name, usage.asked]));
         return {
             atMs: nowMs,
             coveredMs,
-            usages: usages,
-            ownRequested: ownAsked,
+            usages,
+            ownRequested,
             recentlyServed,
             ageMs: estimate.meanAgeMs,
         };
@@ -266,8 +266,8 @@
 }
 
 function computeLevels(totals: FleetTotals, tokensPerSecond: number): FairLevels {
-    const { coveredMs, usages: uses, recentlyServed } = totals;
-    const requested = [...uses.values()].map(use => use.asked);
+    const { coveredMs, usages, recentlyServed } = totals;
+    const requested = [...usages.values()].map(usage => usage.asked);
     const level = computeFairLevel(requested, (tokensPerSecond * coveredMs) / msPerSecond);
     const recentFraction = Math.min(1, recentWindowMs / coveredMs);
     const recentLevel = computeFairLevel(
@@ -275,7 +275,7 @@
         recentlyServed,
     );
     return {
-        totals: totals,
+        totals,
         tokensPerSecond,
         window: Math.max(1, level),
         recent: Math.max(1, level * recentFraction),
--- a/src/decisions/shares/accountTotals.ts
+++ b/src/decisions/shares/accountTotals.ts
@@ -68,10 +68,10 @@
     return { ...totals, members: totals.members.filter(member => !removed.has(member.routerHash)), accounts };
 }
 
-function addAccounts(totals: Map<string, AccountUse>, accounts: ReadonlyMap<string, AccountUse>): void {
+function addAccounts(accountTotals: Map<string, AccountUse>, accounts: ReadonlyMap<string, AccountUse>): void {
     for (const [account, usage] of accounts) {
-        const before = totals.get(account);
-        totals.set(
+        const before = accountTotals.get(account);
+        accountTotals.set(
             account,
             before === undefined
                 ? usage
--- a/src/decisions/shares/catchUpCap.ts
+++ b/src/decisions/shares/catchUpCap.ts
@@ -56,7 +56,7 @@
         if (last !== undefined && nowMs - last.atMs > catchUpWindowMs) {
             this.samples.length = 0;
         }
-        this.samples.push({ atMs: nowMs, maxService: maxService });
+        this.samples.push({ atMs: nowMs, maxService });
         while (this.samples.length > 1 && nowMs - (this.samples[1] as Sample).atMs >= catchUpWindowMs) {
             this.samples.shift();
         }
@@ -72,7 +72,10 @@
         if (first === undefined || last === undefined || nowMs - first.atMs < catchUpWindowMs) {
             return undefined;
         }
-        const leaderService = this.samples.reduce((min, sample) => Math.min(min, sample.maxService), last.maxService);
+        const leaderService = this.samples.reduce(
+            (minService, sample) => Math.min(minService, sample.maxService),
+            last.maxService,
+        );
         return Math.min(leaderService, last.maxService - catchUpCosts * Math.max(this.maxCost, this.previousMaxCost));
     }
 }
--- a/src/decisions/shares/costEstimate.ts
+++ b/src/decisions/shares/costEstimate.ts
@@ -113,12 +113,12 @@
     }
 }
 
-function openStatistics(amounts: Map<string, AmountStatistics>, key: string): AmountStatistics {
-    const existing = amounts.get(key);
+function openStatistics(statisticsByKey: Map<string, AmountStatistics>, key: string): AmountStatistics {
+    const existing = statisticsByKey.get(key);
     if (existing !== undefined) {
         return existing;
     }
-    const amount = new AmountStatistics();
-    amounts.set(key, amount);
-    return amount;
+    const statistics = new AmountStatistics();
+    statisticsByKey.set(key, statistics);
+    return statistics;
 }
--- a/src/decisions/shares/peerEstimate.ts
+++ b/src/decisions/shares/peerEstimate.ts
@@ -57,7 +57,7 @@
     public readonly meanAgeMs: number;
     private requestedOfPeers = 0;
 
-    /** `askedOfThis`: tokens that all accounts requested of this router within the window. */
+    /** `requestedOfThis`: tokens that all accounts requested of this router within the window. */
     public constructor(
         peers: readonly ReportedAccounts[],
         private readonly windows: UseSpans,
--- a/src/decisions/shares/serviceLedger.ts
+++ b/src/decisions/shares/serviceLedger.ts
@@ -174,16 +174,16 @@
      * the end of a busy period.
      */
     public getReturnFloor(nowMs: number): number {
-        let min: number | undefined;
-        let max = 0;
+        let minService: number | undefined;
+        let maxService = 0;
         for (const entry of this.entries.values()) {
             const service = getNet(entry) + entry.lift;
-            max = Math.max(max, service);
-            if (nowMs - entry.lastActiveAtMs <= idleAfterMs && (min === undefined || service < min)) {
-                min = service;
+            maxService = Math.max(maxService, service);
+            if (nowMs - entry.lastActiveAtMs <= idleAfterMs && (minService === undefined || service < minService)) {
+                minService = service;
             }
         }
-        return min ?? max;
+        return minService ?? maxService;
     }
 
     /**
