--- a/src/decisions/limits/coldLimit.ts
+++ b/src/decisions/limits/coldLimit.ts
@@ -6,7 +6,7 @@
  * each request, so each uses a fixed part: a few routers, selected identically by all of them (rendezvous hashing over
  * target and router), share a target's rate, and the others send nothing to it. The sets of live routers differ for
  * seconds after a start or a network partition. A router that has received messages from too few peers would take too
- * much, so it divides the rate by at least `leastSharers`, and sends nothing to cold targets until it has had time to
+ * much, so it divides the rate by at least `minSharers`, and sends nothing to cold targets until it has had time to
  * receive its peers' messages (see `isSettled`).
  *
  * Threshold: three quarters of the rate that the target can handle, in any second, because requests are counted when
--- a/src/decisions/rollouts/rolloutJudge.ts
+++ b/src/decisions/rollouts/rolloutJudge.ts
@@ -62,8 +62,8 @@
         this.reports.set(reporter, evidence);
         let disconnects = this.countNewDisconnects(evidence, before, nowMs);
         for (const route of evidence.routes) {
-            const known = before?.routes.find(other => other.route === route.route);
-            const { baseline, candidate: added } = computeIncrease(route, known);
+            const previous = before?.routes.find(other => other.route === route.route);
+            const { baseline, candidate: added } = computeIncrease(route, previous);
             this.baseline.set(route.route, addCounts(this.baseline.get(route.route), baseline));
             this.candidate.set(route.route, addCounts(this.candidate.get(route.route), added));
             if (added.requests > 0 || added.failures > 0) {
@@ -141,9 +141,9 @@
      */
     private countNewDisconnects(evidence: RolloutEvidence, before: RolloutEvidence | undefined, nowMs: number): number {
         const counted = evidence.breaks.filter(({ targetHash, breaks }) => {
-            const known = before?.breaks.find(other => other.targetHash === targetHash)?.breaks ?? 0;
+            const previousBreaks = before?.breaks.find(other => other.targetHash === targetHash)?.breaks ?? 0;
             const lastAtMs = this.disconnectCountedAtMs.get(targetHash) ?? Number.NEGATIVE_INFINITY;
-            return breaks > known && nowMs - lastAtMs >= disconnectWindowMs;
+            return breaks > previousBreaks && nowMs - lastAtMs >= disconnectWindowMs;
         });
         counted.forEach(({ targetHash }) => this.disconnectCountedAtMs.set(targetHash, nowMs));
         return counted.length;
@@ -188,7 +188,7 @@
     );
 }
 
-function computeIncrease(route: RouteEvidence, known: RouteEvidence | undefined): RouteEvidence {
+function computeIncrease(route: RouteEvidence, previous: RouteEvidence | undefined): RouteEvidence {
     const difference = (now: VersionCounts, then: VersionCounts = noCounts): VersionCounts => ({
         requests: Math.max(0, now.requests - then.requests),
         failures: Math.max(0, now.failures - then.failures),
@@ -197,8 +197,8 @@
     });
     return {
         route: route.route,
-        candidate: difference(route.candidate, known?.candidate),
-        baseline: difference(route.baseline, known?.baseline),
+        candidate: difference(route.candidate, previous?.candidate),
+        baseline: difference(route.baseline, previous?.baseline),
     };
 }
 
