--- a/test/decisions/shares/fairFloods.test.ts
+++ b/test/decisions/shares/fairFloods.test.ts
@@ -27,12 +27,12 @@
     // receives. With totals that are never late, no account is served less than half in the same simulation. Besides,
     // an account that was inactive would take the share of four seconds within the first second of its burst.
     it.each([
-        ["six routers each 400 ms", 6, 400],
-        ["six routers each second", 6, 1_000],
-        ["24 routers each 600 ms", 24, 600],
-        ["40 routers each 2,900 ms", 40, 2_900],
-        ["68 routers each 2,900 ms", 68, 2_900],
-    ])("are all served their minimum while %s exchange reports", (...[, routerCount, peerPeriodMs]) => {
+        ["six routers that report every 400 ms", 6, 400],
+        ["six routers that report every second", 6, 1_000],
+        ["24 routers that report every 600 ms", 24, 600],
+        ["40 routers that report every 2,900 ms", 40, 2_900],
+        ["68 routers that report every 2,900 ms", 68, 2_900],
+    ])("are all served their minimum with %s", (...[, routerCount, peerPeriodMs]) => {
         expect(computeMinRatio(routerCount, peerPeriodMs)).toBeGreaterThanOrEqual(minRatio);
     });
 
