--- a/src/decisions/quarantine/crashLedger.ts
+++ b/src/decisions/quarantine/crashLedger.ts
@@ -20,7 +20,7 @@
     readonly prefixHash: number;
     /** 32-bit hash of the target's incarnation. */
     readonly incarnation: number;
-    /** Weight of the evidence against the request, above 0 to 1. */
+    /** Weight of the evidence against the request, greater than 0 and at most 1. */
     readonly weight: number;
 }
 
--- a/src/decisions/rollouts/exposureBudget.ts
+++ b/src/decisions/rollouts/exposureBudget.ts
@@ -36,7 +36,7 @@
     }
 
     /**
-     * Records a request for the service that is sent to a target of any version. `part`: fraction of the budget to use,
+     * Records a request for the service that is sent to a target of any version. `fraction`: part of the budget to use,
      * 0 to 1.
      */
     public recordRequest(fraction = 1): void {
--- a/test/decisions/quarantine/crashLedger.test.ts
+++ b/test/decisions/quarantine/crashLedger.test.ts
@@ -9,7 +9,7 @@
 import { SeededRandom } from "../../../src/base/random.js";
 
 const digest = "d".repeat(32);
-const firstHoldMs = 600_000;
+const initialHoldMs = 600_000;
 
 function createEvidence(incarnation: number, weight = freshRunWeight): CrashEvidence {
     return { digest, prefixHash: 7, incarnation, weight };
@@ -17,12 +17,12 @@
 
 describe("a request whose targets crashed", () => {
     it("is held after the third target, and after twice as many if it had produced output", () => {
-        const fresh = new CrashLedger();
-        const proven = new CrashLedger();
+        const withoutOutput = new CrashLedger();
+        const withOutput = new CrashLedger();
         const statuses = [1, 2, 3, 4, 5, 6].map(incarnation => {
-            fresh.record(createEvidence(incarnation), 0);
-            proven.record(createEvidence(incarnation, provenRunWeight), 0);
-            return `${fresh.check(digest, 0)} ${proven.check(digest, 0)}`;
+            withoutOutput.record(createEvidence(incarnation), 0);
+            withOutput.record(createEvidence(incarnation, provenRunWeight), 0);
+            return `${withoutOutput.check(digest, 0)} ${withOutput.check(digest, 0)}`;
         });
         expect(statuses).toMatchInlineSnapshot(`
           [
@@ -39,9 +39,9 @@
     it("is probed after ten minutes, and held twice as long if the probe ends a target", () => {
         const ledger = new CrashLedger();
         [1, 2, 3].forEach(incarnation => ledger.record(createEvidence(incarnation), 0));
-        const before = [ledger.check(digest, firstHoldMs - 1), ledger.check(digest, firstHoldMs)];
-        const isHeldAgain = ledger.record(createEvidence(4), firstHoldMs);
-        const after = [ledger.check(digest, 3 * firstHoldMs - 1), ledger.check(digest, 3 * firstHoldMs)];
+        const before = [ledger.check(digest, initialHoldMs - 1), ledger.check(digest, initialHoldMs)];
+        const isHeldAgain = ledger.record(createEvidence(4), initialHoldMs);
+        const after = [ledger.check(digest, 3 * initialHoldMs - 1), ledger.check(digest, 3 * initialHoldMs)];
         expect({ before, isHeldAgain, after }).toEqual({
             before: ["held", "probe"],
             isHeldAgain: true,
