--- a/src/decisions/quarantine/crashLedger.ts
+++ b/src/decisions/quarantine/crashLedger.ts
@@ -47,8 +47,9 @@
     readonly holdMs: number;
 }
 
-/** Weights of a run without output and of a run that had produced some output. */
+/** Weight of the evidence from a run without output. */
 export const freshRunWeight = 1;
+/** Weight of the evidence from a run that had produced some output. */
 export const provenRunWeight = 0.5;
 /**
  * Evidence from which a request is held. Every two held requests of the same account, method and path lower this
