--- a/src/decisions/health/availabilityRegistry.ts
+++ b/src/decisions/health/availabilityRegistry.ts
@@ -71,7 +71,7 @@
      * Drops the availability of an incarnation whose record was removed, if it has no start time: it could not be
      * distinguished from the next incarnation of the same id.
      */
-    public removeUnnamed(incarnation: TargetIncarnation): void {
+    public removeWithoutStartTime(incarnation: TargetIncarnation): void {
         if (incarnation.startedAtMs === undefined) {
             this.incarnations.delete(formatKey(incarnation));
         }
--- a/src/decisions/health/circuitBreaker.ts
+++ b/src/decisions/health/circuitBreaker.ts
@@ -3,9 +3,9 @@
 /** Consecutive failures that open the circuit. With fewer, a caller's own invalid requests would open it. */
 export const failuresToOpen = 5;
 /** Duration of the first pause in milliseconds; it doubles with each failed probe. */
-export const firstPauseMs = 500;
+export const initialPauseMs = 500;
 /** Maximum pause in milliseconds; a target that recovers is detected within this time. */
-export const longestPauseMs = 15_000;
+export const maxPauseMs = 15_000;
 
 /**
  * Stops sending work to a target that fails repeatedly, and then probes it with one request at a time.
@@ -18,7 +18,7 @@
 export class CircuitBreaker {
     private failures = 0;
     private openUntilMs: number | undefined;
-    private pauseMs = firstPauseMs;
+    private pauseMs = initialPauseMs;
     private probeId: string | undefined;
 
     public constructor(private readonly random: Random) {}
@@ -57,7 +57,7 @@
 
     public observeSuccess(): void {
         this.failures = 0;
-        this.pauseMs = firstPauseMs;
+        this.pauseMs = initialPauseMs;
         this.observeFirstOutput();
     }
 
@@ -78,7 +78,7 @@
         }
         this.probeId = undefined;
         this.openUntilMs = nowMs + this.pauseMs * (0.5 + this.random.next() / 2);
-        this.pauseMs = Math.min(longestPauseMs, this.pauseMs * 2);
+        this.pauseMs = Math.min(maxPauseMs, this.pauseMs * 2);
         return !wasOpen;
     }
 }
--- a/src/decisions/health/lapsePolicy.ts
+++ b/src/decisions/health/recordExpiryPolicy.ts
@@ -41,12 +41,12 @@
 }
 
 /** Decides whether a target whose record was removed may still be running. */
-export interface LapsePolicy {
+export interface RecordExpiryPolicy {
     checkRemoval(nowMs: number): RemovalVerdict;
 }
 
 /** Treats every removal as a departure of the target. */
-export class NoLapses implements LapsePolicy {
+export class NoExpiryGrace implements RecordExpiryPolicy {
     public checkRemoval(): RemovalVerdict {
         return { keptUntilMs: undefined };
     }
@@ -63,7 +63,7 @@
  * cannot have acknowledged the departure before the last changes that were read; a departure acknowledged during the
  * outage or before it takes effect when the outage no longer justifies keeping the target.
  */
-export class BoundedLapses implements LapsePolicy {
+export class BoundedExpiryGrace implements RecordExpiryPolicy {
     public constructor(
         private readonly getContact: () => StoreContact,
         private readonly bounds: RemovalBounds,
--- a/src/decisions/health/targetAvailability.ts
+++ b/src/decisions/health/targetAvailability.ts
@@ -43,11 +43,11 @@
 
     /** Whether the target is leaving or in a pause. */
     public isClosed(nowMs: number): boolean {
-        return this.evidence !== undefined || this.pause.computeLeftMs(nowMs) > 0;
+        return this.evidence !== undefined || this.pause.computeRemainingMs(nowMs) > 0;
     }
 
     /** Whether a request may be sent to the target now. */
-    public canTake(nowMs: number): boolean {
+    public canAccept(nowMs: number): boolean {
         return this.evidence === undefined && this.pause.canStart(nowMs);
     }
 }
--- a/src/decisions/health/targetPause.ts
+++ b/src/decisions/health/targetPause.ts
@@ -30,7 +30,7 @@
     }
 
     /** Time until the end of the pause in milliseconds; 0 if there is none. */
-    public computeLeftMs(nowMs: number): number {
+    public computeRemainingMs(nowMs: number): number {
         return Math.max(0, this.untilMs - nowMs);
     }
 
@@ -52,7 +52,7 @@
     }
 
     /** Records that the target accepted a request. */
-    public recordAnswer(): void {
+    public recordResponse(): void {
         this.responses += 1;
     }
 }
--- a/src/decisions/limits/orderPolicy.ts
+++ b/src/decisions/limits/orderPolicy.ts
@@ -10,7 +10,7 @@
 }
 
 /** State that determines whether an agent may send orders. */
-export interface OrderSituation {
+export interface OrderContext {
     /** Offset of this agent's own registration; undefined before it is confirmed. */
     readonly ownOffset: number | undefined;
     /** Offset of the newest registration for the same target that this agent has read. */
@@ -31,9 +31,9 @@
     | { readonly decision: "refuse"; readonly detail: string };
 
 /** A registration read within this time counts as checked; milliseconds. */
-export const checkedForMs = 2_000;
+export const registrationCheckTtlMs = 2_000;
 /** A process that has not run for this long was paused; milliseconds. Timers of an idle process fire more often. */
-export const pausedFromMs = 1_000;
+export const pauseThresholdMs = 1_000;
 
 /**
  * Decides whether this agent may send an order to its engine.
@@ -45,7 +45,7 @@
  * pause between the check and the send; on one VM, the agent's exclusively bound port, which a paused process keeps,
  * prevents a second agent from starting.
  */
-export function checkOrder(situation: OrderSituation, nowMs: number): OrderDecision {
+export function checkOrder(situation: OrderContext, nowMs: number): OrderDecision {
     const { ownOffset, newestOffset, checkedAtMs } = situation;
     if (ownOffset === undefined) {
         return { decision: "refuse", detail: "The agent's registration is not confirmed." };
@@ -56,7 +56,7 @@
     if (situation.targetChecksFencing) {
         return { decision: "send", fencing: ownOffset };
     }
-    const wasPaused = nowMs - situation.lastRanAtMs >= pausedFromMs;
-    const isChecked = checkedAtMs !== undefined && nowMs - checkedAtMs < checkedForMs;
+    const wasPaused = nowMs - situation.lastRanAtMs >= pauseThresholdMs;
+    const isChecked = checkedAtMs !== undefined && nowMs - checkedAtMs < registrationCheckTtlMs;
     return wasPaused || !isChecked ? { decision: "check" } : { decision: "send", fencing: ownOffset };
 }
--- a/src/decisions/quarantine/crashLedger.ts
+++ b/src/decisions/quarantine/crashLedger.ts
@@ -25,7 +25,7 @@
 }
 
 /** The status of a request with respect to target crashes. */
-export type RequestStanding =
+export type RequestStatus =
     /** There is not enough evidence against it. */
     | "clear"
     /** A target ended while it ran the request; each router runs it only once at a time. */
@@ -48,9 +48,9 @@
 }
 
 /** Weight of the evidence from a run without output. */
-export const freshRunWeight = 1;
+export const noOutputRunWeight = 1;
 /** Weight of the evidence from a run that had produced some output. */
-export const provenRunWeight = 0.5;
+export const partialOutputRunWeight = 0.5;
 /**
  * Evidence from which a request is held. Every two held requests of the same account, method and path lower this
  * threshold by one: an account that sends many different such requests would otherwise end three targets with each of
@@ -120,7 +120,7 @@
         return true;
     }
 
-    public check(digest: string, nowMs: number): RequestStanding {
+    public check(digest: string, nowMs: number): RequestStatus {
         const entry = this.findEntry(digest, nowMs);
         if (entry === undefined) {
             return "clear";
@@ -152,7 +152,7 @@
     /** Restores a request that was held before this process started. */
     public applyStored({ digest, prefixHash, incarnations, leftMs, holdMs }: HeldRequest, nowMs: number): void {
         for (const incarnation of incarnations) {
-            this.record({ digest, prefixHash, incarnation, weight: freshRunWeight }, nowMs);
+            this.record({ digest, prefixHash, incarnation, weight: noOutputRunWeight }, nowMs);
         }
         const entry = this.entries.peek(digest);
         if (entry !== undefined) {
--- a/src/decisions/retries/retryBudget.ts
+++ b/src/decisions/retries/retryBudget.ts
@@ -39,7 +39,7 @@
         this.floors = floors;
     }
 
-    public recordFirstTry(clientAccount: string, nowMs: number): void {
+    public recordFirstAttempt(clientAccount: string, nowMs: number): void {
         this.all.add(nowMs, "first");
         this.getWindow(clientAccount).add(nowMs, "first");
     }
--- a/src/decisions/retries/retryPolicy.ts
+++ b/src/decisions/retries/retryPolicy.ts
@@ -17,12 +17,12 @@
     /** Number of the attempt, starting at 1. */
     readonly attempt: number;
     /** Whether only one agent, the key owner, may run the request. */
-    readonly boundToHome: boolean;
+    readonly boundToOwner: boolean;
 }
 
 /** Whether the policy allows another attempt; the retry budget is checked separately. */
 export function canRetry(failed: FailedAttempt): boolean {
-    if (failed.boundToHome || failed.attempt >= maxAttempts) {
+    if (failed.boundToOwner || failed.attempt >= maxAttempts) {
         return false;
     }
     return failed.idempotent || failed.execution === "not-run";
--- a/src/decisions/rollouts/exposureBudget.ts
+++ b/src/decisions/rollouts/exposureBudget.ts
@@ -44,7 +44,7 @@
     }
 
     /** Whether the version may receive a request now. */
-    public get hasRoom(): boolean {
+    public get hasCapacity(): boolean {
         return this.credit >= 1;
     }
 
--- a/src/decisions/rollouts/rolloutJudge.ts
+++ b/src/decisions/rollouts/rolloutEvaluator.ts
@@ -1,5 +1,5 @@
 import { SequentialTest, type TestPlan } from "./sequentialTest.js";
-import { noCounts, type RolloutEvidence, type RouteEvidence, type VersionCounts } from "./versionEvidence.js";
+import { zeroCounts, type RolloutEvidence, type RouteEvidence, type VersionCounts } from "./versionEvidence.js";
 
 /**
  * Decides whether the version being rolled out is as good as the previous one.
@@ -47,7 +47,7 @@
 }
 
 /** Evaluates the sum of the routers' reports as they arrive. */
-export class RolloutJudge {
+export class RolloutEvaluator {
     /** The newest report of each router incarnation; the counts in it only increase. */
     private readonly reports = new Map<string, RolloutEvidence>();
     private readonly disconnectCountedAtMs = new Map<number, number>();
@@ -108,7 +108,7 @@
         return [...this.baseline].map(([route, baseline]) => ({
             route,
             baseline,
-            candidate: this.candidate.get(route) ?? noCounts,
+            candidate: this.candidate.get(route) ?? zeroCounts,
         }));
     }
 
@@ -163,7 +163,7 @@
     }
 
     private createRoutePlans(route: string): { readonly failures: TestPlan; readonly slow: TestPlan } {
-        const total = this.baseline.get(route) ?? noCounts;
+        const total = this.baseline.get(route) ?? zeroCounts;
         return {
             failures: createPlan(computeRate(total.failures, total.requests, minFailureRate), routeIncrease),
             slow: createPlan(computeRate(total.slow, total.timed, minSlowRate), slownessIncrease),
@@ -189,7 +189,7 @@
 }
 
 function computeIncrease(route: RouteEvidence, previous: RouteEvidence | undefined): RouteEvidence {
-    const difference = (now: VersionCounts, then: VersionCounts = noCounts): VersionCounts => ({
+    const difference = (now: VersionCounts, then: VersionCounts = zeroCounts): VersionCounts => ({
         requests: Math.max(0, now.requests - then.requests),
         failures: Math.max(0, now.failures - then.failures),
         timed: Math.max(0, now.timed - then.timed),
@@ -202,7 +202,7 @@
     };
 }
 
-function addCounts(sum: VersionCounts = noCounts, added: VersionCounts): VersionCounts {
+function addCounts(sum: VersionCounts = zeroCounts, added: VersionCounts): VersionCounts {
     return {
         requests: sum.requests + added.requests,
         failures: sum.failures + added.failures,
@@ -212,5 +212,5 @@
 }
 
 function addAllCounts(counts: ReadonlyMap<string, VersionCounts>): VersionCounts {
-    return [...counts.values()].reduce((sum, added) => addCounts(sum, added), noCounts);
+    return [...counts.values()].reduce((sum, added) => addCounts(sum, added), zeroCounts);
 }
--- a/src/decisions/rollouts/rolloutPlan.ts
+++ b/src/decisions/rollouts/rolloutPlan.ts
@@ -1,4 +1,4 @@
-import type { RolloutVerdict } from "./rolloutJudge.js";
+import type { RolloutVerdict } from "./rolloutEvaluator.js";
 
 /**
  * The steps of a roll-out.
@@ -21,7 +21,7 @@
     | "switch";
 
 /** The final outcome of a roll-out. */
-export type RolloutEnd = "complete" | "rolled-back";
+export type RolloutOutcome = "complete" | "rolled-back";
 
 /** State from which the next step is chosen. */
 export interface RolloutProgress {
@@ -48,7 +48,7 @@
 
 /** The next step or outcome, and the reason for it. */
 export interface RolloutDecision {
-    readonly next: RolloutStep | RolloutEnd;
+    readonly next: RolloutStep | RolloutOutcome;
     readonly reason: string;
 }
 
--- a/src/decisions/rollouts/versionEvidence.ts
+++ b/src/decisions/rollouts/versionEvidence.ts
@@ -18,7 +18,7 @@
 }
 
 /** Disconnects at one target of the candidate version. A target that crashes disconnects all its requests at once. */
-export interface TargetBreaks {
+export interface TargetDisconnects {
     readonly targetHash: number;
     readonly breaks: number;
 }
@@ -26,11 +26,11 @@
 /** The counts of one router since it received the roll-out. */
 export interface RolloutEvidence {
     readonly routes: readonly RouteEvidence[];
-    readonly breaks: readonly TargetBreaks[];
+    readonly breaks: readonly TargetDisconnects[];
 }
 
 /** Counts before the first observation. */
-export const noCounts: VersionCounts = { requests: 0, failures: 0, timed: 0, slow: 0 };
+export const zeroCounts: VersionCounts = { requests: 0, failures: 0, timed: 0, slow: 0 };
 
 /** The result of one request that has ended. */
 export interface VersionSample {
@@ -48,7 +48,7 @@
     private readonly disconnects = new Map<number, number>();
 
     public observe({ route, isCandidate, targetHash, result, isSlow }: VersionSample): void {
-        const previous = this.routes.get(route) ?? { route, candidate: noCounts, baseline: noCounts };
+        const previous = this.routes.get(route) ?? { route, candidate: zeroCounts, baseline: zeroCounts };
         const side = isCandidate ? "candidate" : "baseline";
         const counts = previous[side];
         this.routes.set(route, {
@@ -69,7 +69,7 @@
      * Counts disconnected requests as failures, because the target has responded to later requests and so did not
      * crash.
      */
-    public recordBreakFailures(route: string, count: number): void {
+    public recordDisconnectFailures(route: string, count: number): void {
         const previous = this.routes.get(route);
         if (previous !== undefined) {
             const { candidate } = previous;
--- a/src/decisions/shares/accountShares.ts
+++ b/src/decisions/shares/accountShares.ts
@@ -16,7 +16,7 @@
  * Routers report to each other what accounts requested and were served, so the totals cover the whole fleet. What has
  * happened since the last report is estimated ({@link PeerEstimate}).
  */
-import type { AccountUse } from "./accountUse.js";
+import type { AccountUsage } from "./accountUsage.js";
 import { PeerEstimate, type ReportedAccounts, type OwnSample } from "./peerEstimate.js";
 import { WindowedSum } from "../structures/windowedSum.js";
 
@@ -26,14 +26,14 @@
      * Time covered by the counters, in milliseconds: the window, or less if the router's first request is more recent.
      */
     readonly coveredMs: number;
-    readonly accounts: ReadonlyMap<string, AccountUse>;
+    readonly accounts: ReadonlyMap<string, AccountUsage>;
 }
 
 /** The account usage that another router reported, with the age of the report. */
 export interface ReportedRouter extends RouterAccounts, ReportedAccounts {}
 
 /** How much of its fair share an account uses; 1 means all of it. */
-export interface ShareUse {
+export interface ShareUsage {
     /**
      * Ratio to the account's fair share of the fleet's nominal throughput, over the window or in a recent burst; the
      * higher of the two.
@@ -46,7 +46,7 @@
 }
 
 /** Usage of an account that has not requested anything yet. */
-export const noUse: ShareUse = { share: 0, surplus: 0, sumsAgeMs: 0 };
+export const zeroUsage: ShareUsage = { share: 0, surplus: 0, sumsAgeMs: 0 };
 
 /** Accounts without activity for this many windows are removed. */
 const removeAfterWindows = 4;
@@ -97,7 +97,7 @@
 interface FleetTotals {
     readonly atMs: number;
     readonly coveredMs: number;
-    readonly usages: ReadonlyMap<string, AccountUse>;
+    readonly usages: ReadonlyMap<string, AccountUsage>;
     /** Requested tokens per account at this router only. */
     readonly ownRequested: ReadonlyMap<string, number>;
     readonly recentlyServed: number;
@@ -132,7 +132,7 @@
 
     public constructor(private readonly windowMs: number) {}
 
-    public recordAsked(account: string, tokens: number, nowMs: number): void {
+    public recordRequested(account: string, tokens: number, nowMs: number): void {
         this.firstAtMs ??= nowMs;
         this.openAccount(account, nowMs).asked.add(tokens, nowMs);
     }
@@ -145,8 +145,8 @@
     }
 
     /** Lists what this router's accounts requested and were served within the window, and removes inactive accounts. */
-    public listOwn(nowMs: number): RouterAccounts {
-        const accounts = new Map<string, AccountUse>();
+    public listOwnAccounts(nowMs: number): RouterAccounts {
+        const accounts = new Map<string, AccountUsage>();
         for (const [account, usage] of this.own) {
             if (nowMs - usage.lastAtMs > removeAfterWindows * this.windowMs) {
                 this.own.delete(account);
@@ -166,16 +166,16 @@
      * Computes how much of its fair share the account uses; above 1 it has used up its share. `peers` holds the other
      * routers' reports, `tokensPerSecond` the fleet's nominal throughput.
      */
-    public computeUse(
+    public computeUsage(
         account: string,
         peers: readonly ReportedRouter[],
         tokensPerSecond: number,
         nowMs: number,
-    ): ShareUse {
+    ): ShareUsage {
         const totals = this.findTotals(peers, nowMs);
         const usage = totals.usages.get(account);
         if (usage === undefined) {
-            return noUse;
+            return zeroUsage;
         }
         const { window, recent, surplus } = this.findLevels(totals, tokensPerSecond);
         return {
@@ -189,7 +189,7 @@
      * Fraction of the account's requested tokens in the fleet that this router received, 0 to 1. It is 0 while the
      * other routers' reports are missing or too old.
      */
-    public computeOwnPart(account: string): number {
+    public computeOwnFraction(account: string): number {
         const { totals } = this;
         const requested = totals?.usages.get(account)?.asked ?? 0;
         return totals === undefined || totals.ageMs > maxFractionAgeMs || requested <= 0
@@ -213,10 +213,10 @@
     }
 
     private computeTotals(peers: readonly ReportedRouter[], nowMs: number): FleetTotals {
-        const own = this.listOwn(nowMs);
+        const own = this.listOwnAccounts(nowMs);
         const requestedHere = [...own.accounts.values()].reduce((sum, usage) => sum + usage.asked, 0);
         const estimate = new PeerEstimate(peers, { windowMs: this.windowMs, recentMs: recentWindowMs }, requestedHere);
-        const usages = new Map<string, AccountUse>();
+        const usages = new Map<string, AccountUsage>();
         let recentlyServed = 0;
         for (const name of new Set([...own.accounts.keys(), ...estimate.accounts])) {
             const usage = addUsage(
@@ -283,7 +283,7 @@
     };
 }
 
-function addUsage(own: AccountUse | undefined, others: AccountUse): AccountUse {
+function addUsage(own: AccountUsage | undefined, others: AccountUsage): AccountUsage {
     return {
         asked: others.asked + (own?.asked ?? 0),
         served: others.served + (own?.served ?? 0),
--- a/src/decisions/shares/accountTotals.ts
+++ b/src/decisions/shares/accountTotals.ts
@@ -7,7 +7,7 @@
  * at one router depends on one estimate. When one router of each data centre sums up the reports, they are a fraction
  * of a second old at any fleet size, and all routers decide by the same totals.
  */
-import type { AccountUse } from "./accountUse.js";
+import type { AccountUsage } from "./accountUsage.js";
 
 /** Identifies a router's report that is included in totals. */
 export interface TotalsMember {
@@ -24,7 +24,7 @@
     readonly ageMs: number;
     /** Longest time covered by any of the reports, in milliseconds. */
     readonly coveredMs: number;
-    readonly accounts: ReadonlyMap<string, AccountUse>;
+    readonly accounts: ReadonlyMap<string, AccountUsage>;
 }
 
 /** Totals with the time at which they were received. */
@@ -34,7 +34,7 @@
 }
 
 /** Totals without any reports. */
-export const noTotals: AccountTotals = { members: [], ageMs: 0, coveredMs: 0, accounts: new Map() };
+export const emptyTotals: AccountTotals = { members: [], ageMs: 0, coveredMs: 0, accounts: new Map() };
 
 /**
  * Adds up received totals. Totals that share a router with earlier ones in the list are skipped, because that router
@@ -42,7 +42,7 @@
  */
 export function mergeTotals(received: readonly ReceivedTotals[], nowMs: number): AccountTotals {
     const members = new Map<number, TotalsMember>();
-    const accounts = new Map<string, AccountUse>();
+    const accounts = new Map<string, AccountUsage>();
     let totalAgeMs = 0;
     let coveredMs = 0;
     for (const { totals, receivedAtMs } of received) {
@@ -60,7 +60,7 @@
 /** Subtracts a report that is included in the totals. */
 export function removeReport(totals: AccountTotals, report: AccountTotals): AccountTotals {
     const removed = new Set(report.members.map(member => member.routerHash));
-    const accounts = new Map<string, AccountUse>();
+    const accounts = new Map<string, AccountUsage>();
     for (const [account, usage] of totals.accounts) {
         const own = report.accounts.get(account);
         accounts.set(account, own === undefined ? usage : computeRemainder(usage, own));
@@ -68,7 +68,7 @@
     return { ...totals, members: totals.members.filter(member => !removed.has(member.routerHash)), accounts };
 }
 
-function addAccounts(accountTotals: Map<string, AccountUse>, accounts: ReadonlyMap<string, AccountUse>): void {
+function addAccounts(accountTotals: Map<string, AccountUsage>, accounts: ReadonlyMap<string, AccountUsage>): void {
     for (const [account, usage] of accounts) {
         const before = accountTotals.get(account);
         accountTotals.set(
@@ -84,7 +84,7 @@
     }
 }
 
-function computeRemainder(usage: AccountUse, own: AccountUse): AccountUse {
+function computeRemainder(usage: AccountUsage, own: AccountUsage): AccountUsage {
     return {
         asked: Math.max(0, usage.asked - own.asked),
         served: Math.max(0, usage.served - own.served),
--- a/src/decisions/shares/catchUpCap.ts
+++ b/src/decisions/shares/catchUpCap.ts
@@ -3,7 +3,7 @@
  */
 export const catchUpWindowMs = 5_000;
 /** The allowed lag is at least this many times the largest normalized cost of a recent request. */
-export const catchUpCosts = 8;
+export const minCatchUpCosts = 8;
 
 const sampleEveryMs = 500;
 const maxCostWindowMs = 60_000;
@@ -51,7 +51,7 @@
     }
 
     /** Records the maximum normalized service among the accounts that are backlogged now. */
-    public observeGreatest(maxService: number, nowMs: number): void {
+    public observeMaxService(maxService: number, nowMs: number): void {
         const last = this.samples[this.samples.length - 1];
         if (last !== undefined && nowMs - last.atMs > catchUpWindowMs) {
             this.samples.length = 0;
@@ -76,6 +76,9 @@
             (minService, sample) => Math.min(minService, sample.maxService),
             last.maxService,
         );
-        return Math.min(leaderService, last.maxService - catchUpCosts * Math.max(this.maxCost, this.previousMaxCost));
+        return Math.min(
+            leaderService,
+            last.maxService - minCatchUpCosts * Math.max(this.maxCost, this.previousMaxCost),
+        );
     }
 }
--- a/src/decisions/shares/engineShares.ts
+++ b/src/decisions/shares/engineShares.ts
@@ -23,7 +23,7 @@
     private readonly accounts = new Map<number, AccountWindows>();
 
     /** Records requested tokens. `account` is the account's hash; tokens count as they do in account shares. */
-    public recordAsked(account: number, tokens: number, nowMs: number): void {
+    public recordRequested(account: number, tokens: number, nowMs: number): void {
         this.findWindows(account, nowMs).asked.add(tokens, nowMs);
     }
 
--- a/src/decisions/shares/peerEstimate.ts
+++ b/src/decisions/shares/peerEstimate.ts
@@ -14,11 +14,11 @@
  * and with the proportion of all traffic each of their bursts would be counted many times over. The next message
  * replaces the estimate, so errors do not accumulate.
  */
-import type { AccountUse } from "./accountUse.js";
+import type { AccountUsage } from "./accountUsage.js";
 
 /** Account usage that other routers reported. */
 export interface ReportedAccounts {
-    readonly accounts: ReadonlyMap<string, AccountUse>;
+    readonly accounts: ReadonlyMap<string, AccountUsage>;
     /** Time since the report was received, in milliseconds. */
     readonly ageMs: number;
     /** Number of routers that the report covers; 1 if omitted. */
@@ -35,7 +35,7 @@
 }
 
 /** Lengths of the windows that account usage is summed over, in milliseconds. */
-export interface UseSpans {
+export interface UsageWindows {
     readonly windowMs: number;
     readonly recentMs: number;
 }
@@ -60,7 +60,7 @@
     /** `requestedOfThis`: tokens that all accounts requested of this router within the window. */
     public constructor(
         peers: readonly ReportedAccounts[],
-        private readonly windows: UseSpans,
+        private readonly windows: UsageWindows,
         private readonly requestedOfThis: number,
     ) {
         const routerCount = peers.reduce((sum, peer) => sum + (peer.routerCount ?? 1), 0);
@@ -77,7 +77,7 @@
     }
 
     /** Estimates what the account has requested of the other routers and been served there by now. */
-    public estimate(account: string, own: OwnSample): AccountUse {
+    public estimate(account: string, own: OwnSample): AccountUsage {
         const reported = this.reported.get(account) ?? createReportedUsage();
         if (own.askedSince <= 0) {
             return {
--- a/src/decisions/shares/serviceLedger.ts
+++ b/src/decisions/shares/serviceLedger.ts
@@ -191,9 +191,7 @@
      * by other agents are excluded: an account that was lifted by an estimate would keep the excess of the estimate
      * permanently.
      */
-    public getRange(
-        clientAccounts: readonly string[],
-    ): { readonly least: number; readonly greatest: number } | undefined {
+    public getRange(clientAccounts: readonly string[]): { readonly min: number; readonly max: number } | undefined {
         let least = Number.POSITIVE_INFINITY;
         let greatest = Number.NEGATIVE_INFINITY;
         for (const clientAccount of clientAccounts) {
@@ -201,7 +199,7 @@
             least = Math.min(least, service);
             greatest = Math.max(greatest, service);
         }
-        return clientAccounts.length === 0 ? undefined : { least, greatest };
+        return clientAccounts.length === 0 ? undefined : { min: least, max: greatest };
     }
 
     /** Own counters that changed in a report after `sequence`; all counters if it is undefined. */
--- a/test/decisions/retries/retries.test.ts
+++ b/test/decisions/retries/retries.test.ts
@@ -10,7 +10,7 @@
         // account's continue.
         const budget = new RetryBudget();
         for (let index = 0; index < 1_000; index++) {
-            budget.recordFirstTry(index % 2 === 0 ? "failing" : "steady", 5_000);
+            budget.recordFirstAttempt(index % 2 === 0 ? "failing" : "steady", 5_000);
         }
         const take = (account: string, atMs: number): number =>
             Array.from({ length: 500 }).filter(() => budget.takeRetry(account, 0.1, atMs)).length;
@@ -54,7 +54,7 @@
     it("allows only requests that are idempotent or reported as not executed", () => {
         const rows = [true, false].flatMap(idempotent =>
             (["not-run", "unknown", "ran"] as const).map(execution => {
-                const verdict = canRetry({ idempotent, execution, attempt: 1, boundToHome: false });
+                const verdict = canRetry({ idempotent, execution, attempt: 1, boundToOwner: false });
                 return `${idempotent ? "idempotent" : "once"} ${execution}: ${verdict}`;
             }),
         );
@@ -69,8 +69,8 @@
           ]
         `);
         const safe = { idempotent: true, execution: "not-run" } as const;
-        expect(canRetry({ ...safe, attempt: 1, boundToHome: true })).toBe(false);
-        expect(canRetry({ ...safe, attempt: 4, boundToHome: false })).toBe(false);
+        expect(canRetry({ ...safe, attempt: 1, boundToOwner: true })).toBe(false);
+        expect(canRetry({ ...safe, attempt: 4, boundToOwner: false })).toBe(false);
     });
 });
 
@@ -80,7 +80,7 @@
     it("ignores first attempts that are older than the window", () => {
         const budget = new RetryBudget({ perAccount: 0, perRouter: 0 }, 4_000);
         for (let index = 0; index < 10; index++) {
-            budget.recordFirstTry("north", 0);
+            budget.recordFirstAttempt("north", 0);
         }
         expect([budget.takeRetry("north", 0.2, 3_000), budget.takeRetry("north", 0.2, 5_000)]).toEqual([true, false]);
     });
--- a/test/decisions/shares/accountShares.test.ts
+++ b/test/decisions/shares/accountShares.test.ts
@@ -11,7 +11,7 @@
     const shares = new AccountShares(windowMs);
     for (let nowMs = fromMs; nowMs < toMs; nowMs += stepMs) {
         for (const [account, rate] of Object.entries(rates)) {
-            shares.recordAsked(account, (rate * stepMs) / 1_000, nowMs);
+            shares.recordRequested(account, (rate * stepMs) / 1_000, nowMs);
             shares.recordServed(account, (rate * stepMs) / 1_000, nowMs);
         }
     }
@@ -26,7 +26,7 @@
     it("exceeds 1 only for an overloading account once the window is full", () => {
         const shares = createShares(overload, 0, windowMs);
         const usages = Object.keys(overload).map(
-            account => shares.computeUse(account, noPeers, tokensPerSecond, windowMs).share,
+            account => shares.computeUsage(account, noPeers, tokensPerSecond, windowMs).share,
         );
         expect(usages.map(usage => usage > 1)).toEqual([true, false, false]);
     });
@@ -38,7 +38,7 @@
     it("exceeds 1 for an overloading account within the first second of traffic", () => {
         const atMs = 900;
         const shares = createShares(overload, 0, atMs);
-        expect(shares.computeUse("overloading", noPeers, tokensPerSecond, atMs).share).toBeGreaterThan(1);
+        expect(shares.computeUsage("overloading", noPeers, tokensPerSecond, atMs).share).toBeGreaterThan(1);
     });
 
     // An account that was inactive starts a burst. Over the window it has been served little, so it would take all
@@ -46,12 +46,12 @@
     it("is high for an account whose burst began less than a second ago, and low for one with a normal prompt", () => {
         const atMs = 5_750;
         const shares = createShares({ overloading: 2_400_000 }, 5_000, atMs);
-        shares.recordAsked("modest", 20_000, 5_400);
+        shares.recordRequested("modest", 20_000, 5_400);
         shares.recordServed("modest", 20_000, 5_400);
-        const early = createShares({ first: 4_000_000, second: 4_000_000 }, 0, 4_000).listOwn(4_000);
+        const early = createShares({ first: 4_000_000, second: 4_000_000 }, 0, 4_000).listOwnAccounts(4_000);
         const peer = { ...early, ageMs: 0 };
         const usages = ["overloading", "modest"].map(
-            account => shares.computeUse(account, [peer], tokensPerSecond, atMs).share,
+            account => shares.computeUsage(account, [peer], tokensPerSecond, atMs).share,
         );
         expect(usages[0]).toBeGreaterThan(0.75);
         expect(usages[1]).toBeLessThan(0.1);
@@ -62,10 +62,10 @@
     // be refused.
     it("uses the time covered by the fleet's totals instead of the uptime of a router that has just started", () => {
         const shares = new AccountShares(windowMs);
-        shares.recordAsked("modest", 1_000, 0);
+        shares.recordRequested("modest", 1_000, 0);
         const usage = { asked: 1_600_000, served: 1_600_000, recentlyServed: 600_000 };
         const peer = { coveredMs: windowMs, ageMs: 0, accounts: new Map([["modest", usage]]) };
-        expect(shares.computeUse("modest", [peer], tokensPerSecond, 100).share).toBeLessThan(1);
+        expect(shares.computeUsage("modest", [peer], tokensPerSecond, 100).share).toBeLessThan(1);
     });
 });
 
@@ -77,12 +77,12 @@
         const shares = createShares({ early: 2_000_000 }, 0, 4_000);
         for (let nowMs = 4_000; nowMs < 6_000; nowMs += stepMs) {
             for (const account of ["early", "late"]) {
-                shares.recordAsked(account, 100_000, nowMs);
+                shares.recordRequested(account, 100_000, nowMs);
                 shares.recordServed(account, 50_000, nowMs);
             }
         }
         const [early, late] = ["early", "late"].map(account =>
-            shares.computeUse(account, noPeers, tokensPerSecond, 6_000),
+            shares.computeUsage(account, noPeers, tokensPerSecond, 6_000),
         );
         expect(early.share / late.share).toBeGreaterThan(1.5);
         expect(early.surplus).toBeCloseTo(late.surplus, 1);
--- a/test/decisions/shares/estimateSpread.test.ts
+++ b/test/decisions/shares/estimateSpread.test.ts
@@ -32,22 +32,22 @@
 function listFactors(seed: number): readonly number[] {
     const random = new SeededRandom(seed);
     const shares = Array.from({ length: routerCount }, () => new AccountShares(windowMs));
-    const reports = shares.map(router => ({ ...router.listOwn(0), atMs: 0 }));
+    const reports = shares.map(router => ({ ...router.listOwnAccounts(0), atMs: 0 }));
     const clock = new ManualClock();
     const aggregations = createAggregations(shares, clock);
     const factors: number[] = [];
     const serve = (account: string, routerIndex: number, fraction: number, nowMs: number): void => {
-        shares[routerIndex].recordAsked(account, requestTokens, nowMs);
+        shares[routerIndex].recordRequested(account, requestTokens, nowMs);
         if (random.next() < fraction) {
             shares[routerIndex].recordServed(account, requestTokens, nowMs);
         }
     };
     const computeSurplus = (routerIndex: number, peers: readonly ReportedRouter[], nowMs: number): number =>
-        shares[routerIndex].computeUse("overload", peers, tokensPerSecond, nowMs).surplus;
+        shares[routerIndex].computeUsage("overload", peers, tokensPerSecond, nowMs).surplus;
     for (let nowMs = 0; nowMs < runMs; nowMs++) {
         for (const [index, router] of shares.entries()) {
             if (isDue(index, meshPeriodMs, nowMs)) {
-                reports[index] = { ...router.listOwn(nowMs), atMs: nowMs };
+                reports[index] = { ...router.listOwnAccounts(nowMs), atMs: nowMs };
             }
             if (isDue(index, aggregationPeriodMs, nowMs)) {
                 for (const { routerId, message } of aggregations[index].createMessages()) {
@@ -62,13 +62,13 @@
             serve("narrow", 0, narrowGrantedFraction, nowMs);
         }
         if (nowMs >= warmUpMs && nowMs % checkPeriodMs === 0) {
-            const exact = shares.map(router => ({ ...router.listOwn(nowMs), ageMs: 0 }));
+            const exact = shares.map(router => ({ ...router.listOwnAccounts(nowMs), ageMs: 0 }));
             for (const index of shares.keys()) {
-                const others = aggregations[index].findOthers();
+                const others = aggregations[index].findOtherRouters();
                 const reported = reports
                     .map(report => ({ ...report, ageMs: nowMs - report.atMs }))
                     .filter((...[, other]) => other !== index && others === undefined);
-                const peers = others === undefined ? reported : [others.use];
+                const peers = others === undefined ? reported : [others.totals];
                 factors.push(computeSurplus(index, peers, nowMs) / computeExactSurplus(exact, nowMs));
             }
         }
@@ -95,7 +95,7 @@
         return new AccountAggregation({
             ownId: String(index),
             clock,
-            listOwnAccounts: () => router.listOwn(clock.nowMs()),
+            listOwnAccounts: () => router.listOwnAccounts(clock.nowMs()),
             getCondition: () => conditions[index],
             getConditions: () => others,
         });
@@ -104,7 +104,7 @@
 
 /** Uses a separate instance, because a router caches its totals for some milliseconds. */
 function computeExactSurplus(exact: readonly ReportedRouter[], nowMs: number): number {
-    return new AccountShares(windowMs).computeUse("overload", exact, tokensPerSecond, nowMs).surplus;
+    return new AccountShares(windowMs).computeUsage("overload", exact, tokensPerSecond, nowMs).surplus;
 }
 
 describe("68 routers that one account overloads", () => {
