--- a/src/decisions/limits/orderPolicy.ts
+++ b/src/decisions/limits/orderPolicy.ts
@@ -45,18 +45,18 @@
  * pause between the check and the send; on one VM, the agent's exclusively bound port, which a paused process keeps,
  * prevents a second agent from starting.
  */
-export function checkOrder(situation: OrderContext, nowMs: number): OrderDecision {
-    const { ownOffset, newestOffset, checkedAtMs } = situation;
+export function checkOrder(context: OrderContext, nowMs: number): OrderDecision {
+    const { ownOffset, newestOffset, checkedAtMs } = context;
     if (ownOffset === undefined) {
         return { decision: "refuse", detail: "The agent's registration is not confirmed." };
     }
     if (newestOffset !== undefined && newestOffset > ownOffset) {
         return { decision: "refuse", detail: "A newer agent has registered for this target." };
     }
-    if (situation.targetChecksFencing) {
+    if (context.targetChecksFencing) {
         return { decision: "send", fencing: ownOffset };
     }
-    const wasPaused = nowMs - situation.lastRanAtMs >= pauseThresholdMs;
+    const wasPaused = nowMs - context.lastRanAtMs >= pauseThresholdMs;
     const isChecked = checkedAtMs !== undefined && nowMs - checkedAtMs < registrationCheckTtlMs;
     return wasPaused || !isChecked ? { decision: "check" } : { decision: "send", fencing: ownOffset };
 }
--- a/src/decisions/shares/costEstimate.ts
+++ b/src/decisions/shares/costEstimate.ts
@@ -19,7 +19,7 @@
 const chargedQuantile = 0.9;
 const meanSmoothing = 0.05;
 
-/** What is known of a request before it runs; the input of a cost estimate. */
+/** Properties of a request before it runs; the input of a cost estimate. */
 export interface CostHint {
     readonly clientAccount: string;
     readonly service: string;
@@ -61,19 +61,19 @@
     public estimate(hint: CostHint, longFromCost: number): CostEstimate {
         const toClass = (cost: number): "short" | "long" => (cost >= longFromCost ? "long" : "short");
         if (hint.kind === "plain") {
-            const known = this.find(hint, "short");
-            const cost = known?.mean ?? priorPlainMs;
-            return { cost, charge: known?.charged ?? cost, workClass: toClass(cost), hintClass: "short" };
+            const statistics = this.find(hint, "short");
+            const cost = statistics?.mean ?? priorPlainMs;
+            return { cost, charge: statistics?.charged ?? cost, workClass: toClass(cost), hintClass: "short" };
         }
         const prior = hint.maxTokens ?? priorGeneratedTokens;
         const hintClass = toClass(computeModelCost(hint.promptTokens, prior));
-        const known = this.find(hint, hintClass);
+        const statistics = this.find(hint, hintClass);
         const toCost = (generatedTokens: number): number => {
             const capped = Math.min(generatedTokens, hint.maxTokens ?? Number.POSITIVE_INFINITY);
             return Math.max(1, computeModelCost(hint.promptTokens, capped));
         };
-        const cost = toCost(known?.mean ?? prior);
-        return { cost, charge: toCost(known?.charged ?? prior), workClass: toClass(cost), hintClass };
+        const cost = toCost(statistics?.mean ?? prior);
+        return { cost, charge: toCost(statistics?.charged ?? prior), workClass: toClass(cost), hintClass };
     }
 
     /** Records the amount of a completed request: generated tokens, or milliseconds for a plain service. */
--- a/src/decisions/shares/serviceLedger.ts
+++ b/src/decisions/shares/serviceLedger.ts
@@ -192,14 +192,14 @@
      * permanently.
      */
     public getRange(clientAccounts: readonly string[]): { readonly min: number; readonly max: number } | undefined {
-        let least = Number.POSITIVE_INFINITY;
-        let greatest = Number.NEGATIVE_INFINITY;
+        let minService = Number.POSITIVE_INFINITY;
+        let maxService = Number.NEGATIVE_INFINITY;
         for (const clientAccount of clientAccounts) {
             const service = this.getNormalizedService(clientAccount);
-            least = Math.min(least, service);
-            greatest = Math.max(greatest, service);
+            minService = Math.min(minService, service);
+            maxService = Math.max(maxService, service);
         }
-        return clientAccounts.length === 0 ? undefined : { min: least, max: greatest };
+        return clientAccounts.length === 0 ? undefined : { min: minService, max: maxService };
     }
 
     /** Own counters that changed in a report after `sequence`; all counters if it is undefined. */
--- a/test/decisions/rollouts/rolloutEvaluator.test.ts
+++ b/test/decisions/rollouts/rolloutEvaluator.test.ts
@@ -62,23 +62,23 @@
 
     it("is not judged good while a route has no requests", () => {
         const counter = new EvidenceCounter();
-        const judged = new RolloutEvaluator();
+        const evaluator = new RolloutEvaluator();
         for (let index = 0; index < 200; index++) {
             counter.observe({ ...sample, isCandidate: false });
             counter.observe({ ...sample, isCandidate: false, route: "b" });
             counter.observe(sample);
-            judged.apply("router-1", counter.evidence, index);
+            evaluator.apply("router-1", counter.evidence, index);
         }
-        expect(judged.verdict).not.toBe("good");
+        expect(evaluator.verdict).not.toBe("good");
     });
 
     // Routers restart with counts that begin at zero; what they reported before must not be subtracted.
     it("keeps what a router reported before its restart", () => {
-        const judged = new RolloutEvaluator();
+        const evaluator = new RolloutEvaluator();
         const before = new EvidenceCounter();
         before.observe(sample);
-        judged.apply("router-1 1", before.evidence, 0);
-        judged.apply("router-1 2", new EvidenceCounter().evidence, 1);
-        expect(judged.totals.candidate.requests).toBe(1);
+        evaluator.apply("router-1 1", before.evidence, 0);
+        evaluator.apply("router-1 2", new EvidenceCounter().evidence, 1);
+        expect(evaluator.totals.candidate.requests).toBe(1);
     });
 });
--- a/test/decisions/shares/fairQueue.test.ts
+++ b/test/decisions/shares/fairQueue.test.ts
@@ -42,11 +42,11 @@
             queue.updateAccount(clientAccount, current.service);
         } else {
             const candidates = list.filter(item => current.allowLong || item.workClass === "short");
-            const least = Math.min(...candidates.map(item => service.get(item.clientAccount) ?? 0));
+            const minService = Math.min(...candidates.map(item => service.get(item.clientAccount) ?? 0));
             const item = queue.take(current.allowLong);
             expect(item === undefined).toBe(candidates.length === 0);
             if (item !== undefined) {
-                expect(service.get(item.clientAccount)).toBe(least);
+                expect(service.get(item.clientAccount)).toBe(minService);
                 const sameKind = candidates.filter(
                     other => other.clientAccount === item.clientAccount && other.workClass === item.workClass,
                 );
