--- a/src/decisions/rollouts/sequentialTest.ts
+++ b/src/decisions/rollouts/sequentialTest.ts
@@ -38,10 +38,10 @@
     /** Log-likelihood ratio of all samples. */
     private logRatio = 0;
     /**
-     * Log-likelihood ratio since it was last at 0, so that a long sound period does not outweigh a fault that begins
-     * later.
+     * Page's cumulative sum: the log-likelihood ratio since it was last at 0, so that a long sound period does not
+     * outweigh a fault that begins later.
      */
-    private recentLogRatio = 0;
+    private cusum = 0;
     private samples = 0;
     private isFaulty = false;
 
@@ -50,8 +50,8 @@
         const ratio = computeLogRatio(plan, samples, events);
         this.samples += samples;
         this.logRatio += ratio;
-        this.recentLogRatio = Math.max(0, this.recentLogRatio + ratio);
-        this.isFaulty ||= this.recentLogRatio >= Math.log((1 - plan.missRate) / plan.falseAlarmRate);
+        this.cusum = Math.max(0, this.cusum + ratio);
+        this.isFaulty ||= this.cusum >= Math.log((1 - plan.missRate) / plan.falseAlarmRate);
     }
 
     public getResult(plan: TestPlan): TestResult {
@@ -59,13 +59,11 @@
             return "faulty";
         }
         const isProvenSound = this.logRatio <= Math.log(plan.missRate / (1 - plan.falseAlarmRate));
-        return isProvenSound && this.recentLogRatio < suspectLogRatio ? "sound" : "open";
+        return isProvenSound && this.cusum < suspectLogRatio ? "sound" : "open";
     }
 
     /** Whether the samples indicate a sound population, possibly not yet with the error rates of the plan. */
     public isLikelySound(minSamples: number): boolean {
-        return (
-            !this.isFaulty && this.samples >= minSamples && this.logRatio < 0 && this.recentLogRatio < suspectLogRatio
-        );
+        return !this.isFaulty && this.samples >= minSamples && this.logRatio < 0 && this.cusum < suspectLogRatio;
     }
 }
