--- a/src/decisions/rollouts/rolloutEvaluator.ts
+++ b/src/decisions/rollouts/rolloutEvaluator.ts
@@ -2,76 +2,79 @@
 import { zeroCounts, type RolloutEvidence, type RouteEvidence, type VersionCounts } from "./versionEvidence.js";
 
 /**
- * Whether the version that is rolled out is as good as the one before it.
+ * Decides whether the version being rolled out is as good as the previous one.
  *
- * Load pattern: few requests reach the new version until it is shown to be sound, and what is wrong with it may show in a part of the
- * answers, on one route or after a while. All routes together show a small rise soon; each route by itself shows a large one
- * with few requests.
+ * Load pattern: few requests reach the new version until it has been shown to be sound, and its faults may affect only
+ * a part of the responses, one route, or appear after a while. All routes together reveal a small increase early; a
+ * single route reveals a large increase with few requests.
  */
 
-/** What the evidence so far says of the version. */
+/** The assessment of the version by the evidence so far. */
 export type RolloutVerdict =
     | "bad"
-    /** Shown to be sound, with the tests' error rates. */
+    /** The version was shown to be sound, with the error rates of the tests. */
     | "good"
-    /** Nothing speaks against it, and some requests for it. */
+    /** There is no evidence against the version, and some requests for it. */
     | "likely-good"
     | "open";
 
-/** Rise of a rate over all routes that has to be found. */
-const pooledRise = 0.1;
-/** The same on one route, which has fewer requests. */
-const routeRise = 0.28;
-const slownessRise = 0.3;
-/** A sound version fails now and then, and some of its answers are slow; also one whose baseline shows none yet. */
-const leastFailureRate = 0.02;
-const leastSlowRate = 0.04;
-/** A baseline that does worse is in trouble of its own, and no measure. */
-const mostBaselineRate = 0.4;
+/** Increase of a rate over all routes that the test has to detect. */
+const pooledIncrease = 0.1;
+/** Increase that the test has to detect on a single route, which has fewer requests. */
+const routeIncrease = 0.28;
+const slownessIncrease = 0.3;
+/**
+ * Even a sound version fails occasionally, and some of its responses are slow. These minimum rates also apply if its
+ * baseline has no such events yet.
+ */
+const minFailureRate = 0.02;
+const minSlowRate = 0.04;
+/** A baseline with a higher rate has problems of its own and is no reference. */
+const maxBaselineRate = 0.4;
 const falseAlarmRate = 0.0005;
 const missRate = 0.05;
-/** Requests after which a version that shows no fault may count as likely good. */
-const leastLikelySamples = 8;
-/** A route with a smaller part of the requests is judged with all others only. */
-const leastRoutePart = 0.03;
+/** Minimum requests before a version without observed faults counts as likely good. */
+const minLikelySamples = 8;
+/** Routes with a smaller fraction of all requests are only tested together with the others. */
+const minRouteFraction = 0.03;
 
-/** Within this time routers report one crash, and know whether the target has survived; milliseconds. */
-const breakSpanMs = 5_000;
+/** Within this time in milliseconds, routers report the same crash and detect whether the target has survived it. */
+const disconnectWindowMs = 5_000;
 
 interface RouteTests {
     readonly failures: SequentialTest;
     readonly slow: SequentialTest;
 }
 
-/** Judges the sum of what routers report, as it comes in. */
+/** Evaluates the sum of the routers' reports as they arrive. */
 export class RolloutEvaluator {
-    /** The newest report of each router's incarnation; counts in it only rise. */
+    /** The newest report of each router incarnation; the counts in it only increase. */
     private readonly reports = new Map<string, RolloutEvidence>();
-    private readonly breakCountedAtMs = new Map<number, number>();
+    private readonly disconnectCountedAtMs = new Map<number, number>();
     private readonly pooled = createTests();
     private readonly routes = new Map<string, RouteTests>();
     private baseline = new Map<string, VersionCounts>();
     private candidate = new Map<string, VersionCounts>();
 
-    /** Takes a router's report, whole; `reporter` names its incarnation. */
+    /** Applies a router's complete report. `reporter` identifies the router's incarnation. */
     public apply(reporter: string, evidence: RolloutEvidence, nowMs: number): void {
         const before = this.reports.get(reporter);
         this.reports.set(reporter, evidence);
-        let breaks = this.countNewBreaks(evidence, before, nowMs);
+        let disconnects = this.countNewDisconnects(evidence, before, nowMs);
         for (const route of evidence.routes) {
-            const known = before?.routes.find(other => other.route === route.route);
-            const { baseline, candidate: added } = computeIncrease(route, known);
+            const previous = before?.routes.find(other => other.route === route.route);
+            const { baseline, candidate: added } = computeIncrease(route, previous);
             this.baseline.set(route.route, addCounts(this.baseline.get(route.route), baseline));
             this.candidate.set(route.route, addCounts(this.candidate.get(route.route), added));
             if (added.requests > 0 || added.failures > 0) {
-                this.observe(route.route, added, breaks);
-                breaks = 0;
+                this.observe(route.route, added, disconnects);
+                disconnects = 0;
             }
         }
     }
 
     public get verdict(): RolloutVerdict {
-        const routes = [...this.routes].filter(([route]) => this.isJudgedAlone(route));
+        const routes = [...this.routes].filter(([route]) => this.isTestedIndividually(route));
         const plans = this.createPlans();
         const results = routes.flatMap(([route, tests]) => {
             const { failures, slow } = this.createRoutePlans(route);
@@ -81,24 +84,26 @@
         if (results.includes("faulty") || this.hasFaultyRoute) {
             return "bad";
         }
-        const unseen = [...this.baseline.keys()].filter(route => this.isJudgedAlone(route) && !this.routes.has(route));
-        if (unseen.length === 0 && results.every(result => result === "sound")) {
+        const unobserved = [...this.baseline.keys()].filter(
+            route => this.isTestedIndividually(route) && !this.routes.has(route),
+        );
+        if (unobserved.length === 0 && results.every(result => result === "sound")) {
             return "good";
         }
         const tests = [this.pooled, ...routes.map(([, test]) => test)];
         const isLikely = tests.every(
             (test, index) =>
-                test.failures.isLikelySound(index === 0 ? leastLikelySamples : 1) && test.slow.isLikelySound(1),
+                test.failures.isLikelySound(index === 0 ? minLikelySamples : 1) && test.slow.isLikelySound(1),
         );
         return isLikely ? "likely-good" : "open";
     }
 
-    /** Requests that the version got, and how many of them failed or were slow; for people. */
+    /** Totals of both versions over all routes, for operators. */
     public get totals(): { readonly candidate: VersionCounts; readonly baseline: VersionCounts } {
-        return { candidate: addAll(this.candidate), baseline: addAll(this.baseline) };
+        return { candidate: addAllCounts(this.candidate), baseline: addAllCounts(this.baseline) };
     }
 
-    /** Sums by route, for people. */
+    /** Totals by route, for operators. */
     public get routeTotals(): readonly RouteEvidence[] {
         return [...this.baseline].map(([route, baseline]) => ({
             route,
@@ -107,7 +112,7 @@
         }));
     }
 
-    /** A fault stays one also while its route has too few requests to be judged alone. */
+    /** A detected fault remains in effect even while its route has too few requests to be tested individually. */
     private get hasFaultyRoute(): boolean {
         return [...this.routes].some(([route, { failures, slow }]) => {
             const plans = this.createRoutePlans(route);
@@ -115,9 +120,13 @@
         });
     }
 
-    private observe(route: string, { requests, failures, timed, slow }: VersionCounts, breaks: number): void {
+    private observe(route: string, { requests, failures, timed, slow }: VersionCounts, disconnects: number): void {
         const plans = this.createPlans();
-        this.pooled.failures.observe(plans.failures, Math.max(requests, failures + breaks), failures + breaks);
+        this.pooled.failures.observe(
+            plans.failures,
+            Math.max(requests, failures + disconnects),
+            failures + disconnects,
+        );
         this.pooled.slow.observe(plans.slow, timed, slow);
         const tests = this.routes.get(route) ?? createTests();
         this.routes.set(route, tests);
@@ -126,35 +135,38 @@
         tests.slow.observe(routePlans.slow, timed, slow);
     }
 
-    /** At most one for each target and span: a target that crashes breaks the requests of all routers, and that is one event. */
-    private countNewBreaks(evidence: RolloutEvidence, before: RolloutEvidence | undefined, nowMs: number): number {
+    /**
+     * Counts at most one disconnect per target and window: a target that crashes disconnects the requests of all
+     * routers, which is a single event.
+     */
+    private countNewDisconnects(evidence: RolloutEvidence, before: RolloutEvidence | undefined, nowMs: number): number {
         const counted = evidence.breaks.filter(({ targetHash, breaks }) => {
-            const known = before?.breaks.find(other => other.targetHash === targetHash)?.breaks ?? 0;
-            const lastAtMs = this.breakCountedAtMs.get(targetHash) ?? Number.NEGATIVE_INFINITY;
-            return breaks > known && nowMs - lastAtMs >= breakSpanMs;
+            const previousBreaks = before?.breaks.find(other => other.targetHash === targetHash)?.breaks ?? 0;
+            const lastAtMs = this.disconnectCountedAtMs.get(targetHash) ?? Number.NEGATIVE_INFINITY;
+            return breaks > previousBreaks && nowMs - lastAtMs >= disconnectWindowMs;
         });
-        counted.forEach(({ targetHash }) => this.breakCountedAtMs.set(targetHash, nowMs));
+        counted.forEach(({ targetHash }) => this.disconnectCountedAtMs.set(targetHash, nowMs));
         return counted.length;
     }
 
-    private isJudgedAlone(route: string): boolean {
-        const all = addAll(this.baseline).requests;
-        return (this.baseline.get(route)?.requests ?? 0) >= leastRoutePart * all;
+    private isTestedIndividually(route: string): boolean {
+        const all = addAllCounts(this.baseline).requests;
+        return (this.baseline.get(route)?.requests ?? 0) >= minRouteFraction * all;
     }
 
     private createPlans(): { readonly failures: TestPlan; readonly slow: TestPlan } {
-        const total = addAll(this.baseline);
+        const total = addAllCounts(this.baseline);
         return {
-            failures: createPlan(computeRate(total.failures, total.requests, leastFailureRate), pooledRise),
-            slow: createPlan(computeRate(total.slow, total.timed, leastSlowRate), slownessRise),
+            failures: createPlan(computeRate(total.failures, total.requests, minFailureRate), pooledIncrease),
+            slow: createPlan(computeRate(total.slow, total.timed, minSlowRate), slownessIncrease),
         };
     }
 
     private createRoutePlans(route: string): { readonly failures: TestPlan; readonly slow: TestPlan } {
         const total = this.baseline.get(route) ?? zeroCounts;
         return {
-            failures: createPlan(computeRate(total.failures, total.requests, leastFailureRate), routeRise),
-            slow: createPlan(computeRate(total.slow, total.timed, leastSlowRate), slownessRise),
+            failures: createPlan(computeRate(total.failures, total.requests, minFailureRate), routeIncrease),
+            slow: createPlan(computeRate(total.slow, total.timed, minSlowRate), slownessIncrease),
         };
     }
 }
@@ -163,17 +175,20 @@
     return { failures: new SequentialTest(), slow: new SequentialTest() };
 }
 
-function createPlan(soundRate: number, rise: number): TestPlan {
-    return { soundRate, faultyRate: Math.min(0.98, soundRate + rise), falseAlarmRate, missRate };
+function createPlan(soundRate: number, increase: number): TestPlan {
+    return { soundRate, faultyRate: Math.min(0.98, soundRate + increase), falseAlarmRate, missRate };
 }
 
-/** The baseline's rate with some samples of the usual rate added, as it has few at first. */
-function computeRate(events: number, samples: number, usual: number): number {
+/** The baseline's rate with some samples at the usual rate added, because the baseline has few samples at first. */
+function computeRate(events: number, samples: number, usualRate: number): number {
     const priorSamples = 30;
-    return Math.min(mostBaselineRate, Math.max(usual, (events + usual * priorSamples) / (samples + priorSamples)));
+    return Math.min(
+        maxBaselineRate,
+        Math.max(usualRate, (events + usualRate * priorSamples) / (samples + priorSamples)),
+    );
 }
 
-function computeIncrease(route: RouteEvidence, known: RouteEvidence | undefined): RouteEvidence {
+function computeIncrease(route: RouteEvidence, previous: RouteEvidence | undefined): RouteEvidence {
     const difference = (now: VersionCounts, then: VersionCounts = zeroCounts): VersionCounts => ({
         requests: Math.max(0, now.requests - then.requests),
         failures: Math.max(0, now.failures - then.failures),
@@ -182,8 +197,8 @@
     });
     return {
         route: route.route,
-        candidate: difference(route.candidate, known?.candidate),
-        baseline: difference(route.baseline, known?.baseline),
+        candidate: difference(route.candidate, previous?.candidate),
+        baseline: difference(route.baseline, previous?.baseline),
     };
 }
 
@@ -196,6 +211,6 @@
     };
 }
 
-function addAll(counts: ReadonlyMap<string, VersionCounts>): VersionCounts {
+function addAllCounts(counts: ReadonlyMap<string, VersionCounts>): VersionCounts {
     return [...counts.values()].reduce((sum, added) => addCounts(sum, added), zeroCounts);
 }
--- a/src/decisions/shares/catchUpCap.ts
+++ b/src/decisions/shares/catchUpCap.ts
@@ -1,72 +1,84 @@
-/** An account may lag the leader by what the leader gained within this time; milliseconds. */
+/**
+ * An account may lag behind the leading account by at most what the leader gained within this time, in milliseconds.
+ */
 export const catchUpWindowMs = 5_000;
-/** ... and never by less than this many of the largest normalized cost seen lately. */
+/** The allowed lag is at least this many times the largest normalized cost of a recent request. */
 export const minCatchUpCosts = 8;
 
 const sampleEveryMs = 500;
-const largestCostSpanMs = 60_000;
+const maxCostWindowMs = 60_000;
 
 interface Sample {
     readonly atMs: number;
-    readonly greatest: number;
+    readonly maxService: number;
 }
 
 /**
- * Limits how far a backlogged account may lag the one with the most service.
+ * Limits how far a backlogged account may lag behind the account with the most service.
  *
- * Load pattern: a partition heals. One side has served an account for minutes that the other side could not see.
- * Served strictly by its service, the account that led would now get nothing until all others have made up for
- * minutes; its callers see a stall. An account that lags is therefore lifted to within the cap.
+ * Load pattern: a network partition heals. One side has served an account for minutes, which the other side could not
+ * observe. If accounts were served strictly by their service, the leading account would now be served nothing until all
+ * others have caught up by minutes of service, and its callers would see a stall. A lagging account is therefore lifted
+ * to the allowed lag.
  *
- * Five seconds of the leader's own gain is far more than exchanges can be stale (about a second), so that ordinary
- * staleness is corrected whole; and it is the longest that a leader waits for others to catch up, at any rate of the
- * fleet. The second limit, eight of the largest cost, is for slow services on which one request weighs more than five
- * seconds of gain: several agents with the same view may each start one request of the same account at once.
- * The floor takes the least of the samples, so that a leader whose estimate is refunded, or who has just become
- * visible, lifts nobody.
+ * The window of five seconds of the leader's own gain is far longer than exchanges can be stale (about a second), so
+ * ordinary staleness is fully compensated. It is also the longest time that a leader waits for others to catch up, at
+ * any throughput of the fleet. The second limit, eight times the largest cost, is for slow services on which one
+ * request weighs more than five seconds of gain: several agents with the same state may each start one request of the
+ * same account at once. The floor uses the minimum of the samples, so that no account is lifted because of a leader
+ * whose estimate is later refunded or who has only just become visible.
  */
 export class CatchUpCap {
     private readonly samples: Sample[] = [];
-    private largest = 0;
-    private largestBefore = 0;
-    private largestFromMs = 0;
+    private maxCost = 0;
+    private previousMaxCost = 0;
+    private maxCostSinceMs = 0;
 
-    /** Notes the normalized cost of a request that was started. */
+    /** Records the normalized cost of a request that was started. */
     public observeCost(normalizedCost: number, nowMs: number): void {
-        if (nowMs - this.largestFromMs > largestCostSpanMs) {
-            this.largestBefore = nowMs - this.largestFromMs > 2 * largestCostSpanMs ? 0 : this.largest;
-            this.largest = 0;
-            this.largestFromMs = nowMs;
+        if (nowMs - this.maxCostSinceMs > maxCostWindowMs) {
+            this.previousMaxCost = nowMs - this.maxCostSinceMs > 2 * maxCostWindowMs ? 0 : this.maxCost;
+            this.maxCost = 0;
+            this.maxCostSinceMs = nowMs;
         }
-        this.largest = Math.max(this.largest, normalizedCost);
+        this.maxCost = Math.max(this.maxCost, normalizedCost);
     }
 
-    /** Whether the next sample is due; sampling looks at every backlogged account. */
+    /** Whether the next sample is due. Sampling visits every backlogged account, so it is rate-limited. */
     public isSampleDue(nowMs: number): boolean {
         const last = this.samples[this.samples.length - 1];
         return last === undefined || nowMs - last.atMs >= sampleEveryMs;
     }
 
-    /** Takes the greatest normalized service of the accounts that are backlogged now. */
-    public observeMaxService(greatest: number, nowMs: number): void {
+    /** Records the maximum normalized service among the accounts that are backlogged now. */
+    public observeMaxService(maxService: number, nowMs: number): void {
         const last = this.samples[this.samples.length - 1];
         if (last !== undefined && nowMs - last.atMs > catchUpWindowMs) {
             this.samples.length = 0;
         }
-        this.samples.push({ atMs: nowMs, greatest });
+        this.samples.push({ atMs: nowMs, maxService });
         while (this.samples.length > 1 && nowMs - (this.samples[1] as Sample).atMs >= catchUpWindowMs) {
             this.samples.shift();
         }
     }
 
-    /** Least normalized service that a backlogged account is left at; undefined until a whole window was seen. */
+    /**
+     * Minimum normalized service of a backlogged account; accounts below it are lifted. Undefined until samples cover a
+     * full window.
+     */
     public getFloor(nowMs: number): number | undefined {
         const first = this.samples[0];
         const last = this.samples[this.samples.length - 1];
         if (first === undefined || last === undefined || nowMs - first.atMs < catchUpWindowMs) {
             return undefined;
         }
-        const leader = this.samples.reduce((least, sample) => Math.min(least, sample.greatest), last.greatest);
-        return Math.min(leader, last.greatest - minCatchUpCosts * Math.max(this.largest, this.largestBefore));
+        const leaderService = this.samples.reduce(
+            (minService, sample) => Math.min(minService, sample.maxService),
+            last.maxService,
+        );
+        return Math.min(
+            leaderService,
+            last.maxService - minCatchUpCosts * Math.max(this.maxCost, this.previousMaxCost),
+        );
     }
 }
--- a/src/decisions/shares/engineShares.ts
+++ b/src/decisions/shares/engineShares.ts
@@ -1,39 +1,39 @@
 /**
- * How level accounts are at one engine, by what was granted there.
+ * Compares accounts at one engine by what was granted there.
  *
- * Load pattern: accounts flood while the fleet's sums of their use are seconds old, as they are where there are many routers. By
- * these an account that has just begun to flood counts as within its share, and takes many times what others get. The owner
- * of an engine sees all that is asked and granted there, without delay. Requests spread over engines, so that accounts which
- * are level at each engine are about level in the fleet.
+ * Load pattern: accounts overload the fleet while the totals of their usage are seconds old, as is the case with many
+ * routers. By these totals an account whose burst has just begun still counts as within its share, and takes many times
+ * what others receive. The owner of an engine sees all requests and grants there without delay. Requests are spread
+ * over the engines, so accounts that are even at each engine are about even in the fleet.
  */
 import { WindowedSum } from "../structures/windowedSum.js";
 import { computeFairLevel } from "./accountShares.js";
 
-/** Long enough that each account of a flood asks several times at each engine; milliseconds. */
-const spanMs = 4_000;
+/** Window in milliseconds; long enough that each account of an overload sends several requests to each engine. */
+const windowMs = 4_000;
 
-interface AccountSums {
+interface AccountWindows {
     readonly asked: WindowedSum;
     readonly granted: WindowedSum;
     lastAtMs: number;
 }
 
-/** What accounts asked for and got at one engine. */
+/** Records what accounts requested and were granted at one engine. */
 export class EngineShares {
-    private readonly accounts = new Map<number, AccountSums>();
+    private readonly accounts = new Map<number, AccountWindows>();
 
-    /** By the account's hash; tokens as they count against accounts' shares. */
+    /** Records requested tokens. `account` is the account's hash; tokens count as they do in account shares. */
     public recordRequested(account: number, tokens: number, nowMs: number): void {
-        this.findSums(account, nowMs).asked.add(tokens, nowMs);
+        this.findWindows(account, nowMs).asked.add(tokens, nowMs);
     }
 
     public recordGranted(account: number, tokens: number, nowMs: number): void {
-        this.findSums(account, nowMs).granted.add(tokens, nowMs);
+        this.findWindows(account, nowMs).granted.add(tokens, nowMs);
     }
 
     /**
-     * What the account got over the even level of what was granted here. The last request does not count: a single one may be more
-     * than the level.
+     * Ratio of what the account was granted here to the fair level of all grants. The last request is excluded, since a
+     * single request may exceed the level.
      */
     public computeSurplus(account: number, lastTokens: number, nowMs: number): number {
         const own = (this.accounts.get(account)?.granted.getTotal(nowMs) ?? 0) - lastTokens;
@@ -41,25 +41,25 @@
             return 0;
         }
         let granted = 0;
-        const asked: number[] = [];
-        for (const [id, sums] of this.accounts) {
-            if (nowMs - sums.lastAtMs > spanMs) {
+        const requested: number[] = [];
+        for (const [id, windows] of this.accounts) {
+            if (nowMs - windows.lastAtMs > windowMs) {
                 this.accounts.delete(id);
             } else {
-                asked.push(sums.asked.getTotal(nowMs));
-                granted += sums.granted.getTotal(nowMs);
+                requested.push(windows.asked.getTotal(nowMs));
+                granted += windows.granted.getTotal(nowMs);
             }
         }
-        return own / Math.max(1, computeFairLevel(asked, granted));
+        return own / Math.max(1, computeFairLevel(requested, granted));
     }
 
-    private findSums(account: number, nowMs: number): AccountSums {
-        let sums = this.accounts.get(account);
-        if (sums === undefined) {
-            sums = { asked: new WindowedSum(spanMs), granted: new WindowedSum(spanMs), lastAtMs: nowMs };
-            this.accounts.set(account, sums);
+    private findWindows(account: number, nowMs: number): AccountWindows {
+        let windows = this.accounts.get(account);
+        if (windows === undefined) {
+            windows = { asked: new WindowedSum(windowMs), granted: new WindowedSum(windowMs), lastAtMs: nowMs };
+            this.accounts.set(account, windows);
         }
-        sums.lastAtMs = nowMs;
-        return sums;
+        windows.lastAtMs = nowMs;
+        return windows;
     }
 }
--- a/test/decisions/health/targetAvailability.property.test.ts
+++ b/test/decisions/health/targetAvailability.property.test.ts
@@ -21,8 +21,8 @@
 );
 
 describe("a target's availability", () => {
-    // Evidence comes late, twice and in any order; none of it may open a target again that is leaving or wants nothing.
-    it("stays closed from the first evidence on, and until the latest end of its pauses", () => {
+    // Evidence arrives late, repeatedly and in any order; none of it may reopen a target that is leaving or in a pause.
+    it("stays closed from the first evidence on, or until the latest end of its pauses", () => {
         fc.assert(
             fc.property(steps, sequence => {
                 const availability = new TargetAvailability();
@@ -58,8 +58,8 @@
         return sends;
     }
 
-    // All that waited for the end would turn the target away again at once.
-    it("lets one request through, then more with each answer, then all", () => {
+    // If all queued requests were sent at the end of the pause, the target would refuse requests again at once.
+    it("allows one request, then more with each response, then all", () => {
         const pause = new TargetPause();
         pause.record(500, 0);
         const counts = [countSends(pause, 499), countSends(pause, 500)];
@@ -78,7 +78,7 @@
         `);
     });
 
-    it("begins anew after a further pause", () => {
+    it("restarts the slow start after a further pause", () => {
         const pause = new TargetPause();
         pause.record(500, 0);
         countSends(pause, 500);
--- a/test/decisions/shares/engineShares.test.ts
+++ b/test/decisions/shares/engineShares.test.ts
@@ -1,10 +1,10 @@
 import { describe, expect, it } from "vitest";
 import { EngineShares } from "../../../src/decisions/shares/engineShares.js";
 
-const [flood, steady, small] = [1, 2, 3];
+const [burst, steady, small] = [1, 2, 3];
 const tokens = 5_000;
 
-/** Each account asks so often; all that is asked is granted. */
+/** Records the given number of requests per account, all of them granted. */
 function createShares(counts: Readonly<Record<number, number>>): EngineShares {
     const shares = new EngineShares();
     for (const [account, count] of Object.entries(counts)) {
@@ -17,9 +17,9 @@
 }
 
 describe("accounts at one engine", () => {
-    it("stand by what they got over the even level, the last request left out", () => {
-        const shares = createShares({ [flood]: 20, [steady]: 10, [small]: 1 });
-        const surpluses = [flood, steady, small].map(account => shares.computeSurplus(account, tokens, 2_000));
+    it("have no surplus while everything they request is granted", () => {
+        const shares = createShares({ [burst]: 20, [steady]: 10, [small]: 1 });
+        const surpluses = [burst, steady, small].map(account => shares.computeSurplus(account, tokens, 2_000));
         expect(surpluses.map(surplus => Number(surplus.toFixed(2)))).toMatchInlineSnapshot(`
           [
             0,
@@ -29,10 +29,10 @@
         `);
     });
 
-    // An account that was given one long prompt would otherwise be held back for it as if it had flooded.
-    it("are not held back for a single request, nor for what they got long ago", () => {
-        const shares = createShares({ [flood]: 1, [steady]: 10 });
-        const once = shares.computeSurplus(flood, tokens, 1_000);
+    // Otherwise an account with one long prompt would be held back as if it had sent a burst.
+    it("have no surplus for a single request or for grants outside the window", () => {
+        const shares = createShares({ [burst]: 1, [steady]: 10 });
+        const once = shares.computeSurplus(burst, tokens, 1_000);
         expect([once, shares.computeSurplus(steady, tokens, 60_000)]).toEqual([0, 0]);
     });
 });
--- a/test/decisions/shares/fairQueue.test.ts
+++ b/test/decisions/shares/fairQueue.test.ts
@@ -17,7 +17,7 @@
     fc.record({ type: fc.constant("take" as const), allowLong: fc.boolean() }),
 );
 
-/** Checks each answer of the queue against a plain list that is searched from end to end. */
+/** Compares each result of the queue with a linear search of a plain list. */
 function checkAgainstList(steps: readonly Step[]): void {
     const queue = new FairQueue<QueuedItem>();
     const list: QueuedItem[] = [];
@@ -42,11 +42,11 @@
             queue.updateAccount(clientAccount, current.service);
         } else {
             const candidates = list.filter(item => current.allowLong || item.workClass === "short");
-            const least = Math.min(...candidates.map(item => service.get(item.clientAccount) ?? 0));
+            const minService = Math.min(...candidates.map(item => service.get(item.clientAccount) ?? 0));
             const item = queue.take(current.allowLong);
             expect(item === undefined).toBe(candidates.length === 0);
             if (item !== undefined) {
-                expect(service.get(item.clientAccount)).toBe(least);
+                expect(service.get(item.clientAccount)).toBe(minService);
                 const sameKind = candidates.filter(
                     other => other.clientAccount === item.clientAccount && other.workClass === item.workClass,
                 );
@@ -60,16 +60,16 @@
 }
 
 describe("FairQueue", () => {
-    it("takes the oldest of a backlogged account with the least service, whatever was added and withdrawn", () => {
+    it("takes the oldest item of a backlogged account with the least service after any sequence of additions and removals", () => {
         fc.assert(fc.property(fc.array(step, { maxLength: 120, size: "max" }), checkAgainstList), {
             seed: 2,
             numRuns: 200,
         });
     });
 
-    // The caller sees: neither its account's questions nor its rebuild wait for ever. Both classes of one account are
-    // backlogged; each gets half of the account's cost.
-    it("shares an account's turns between short and long by cost", () => {
+    // Neither short nor long work of an account may starve. Both classes of one account are backlogged; each receives
+    // half of the account's cost.
+    it("divides an account's cost evenly between short and long work", () => {
         const queue = new FairQueue<QueuedItem>();
         for (let index = 0; index < 60; index += 1) {
             queue.add({ id: `s${index}`, clientAccount: "a", workClass: "short", cost: 10 }, 0, 1);
