--- a/src/gateway/accountCharge.ts
+++ b/src/gateway/accountCharge.ts
@@ -1,10 +1,10 @@
 import type { GatewayContext } from "./gatewayContext.js";
 import type { RoutedRequest } from "./routedRequest.js";
 
-/** Output tokens count this often against an account's share; generating one costs about as much as reading some. */
+/** Weight of an output token in an account's share: generating one costs about as much as prefilling this many prompt tokens. */
 const outputTokenWeight = 2;
 
-/** Tokens that a request counts against its account's share: its prompt, and what it is expected to generate. */
+/** Tokens that a request is charged to its account's share: its prompt tokens plus its weighted expected output tokens; 0 without a prompt. */
 export function computeChargedTokens(
     { outputLengths }: Pick<GatewayContext, "outputLengths">,
     { head, route }: Pick<RoutedRequest, "head" | "route">,
@@ -13,7 +13,7 @@
     return head.promptTokens > 0 ? head.promptTokens + outputTokenWeight * outputTokens : 0;
 }
 
-/** What one request counts against its account's share, from its arrival to its end. */
+/** Charges one request to its account's share, from its arrival to its end. */
 export class AccountCharge {
     private asked = 0;
     private served = 0;
@@ -23,22 +23,23 @@
         private readonly routed: RoutedRequest,
     ) {}
 
-    /** Tokens that it counts as asked for: its prompt, and what it is expected to generate. */
+    /** Tokens charged as requested: prompt tokens plus weighted expected output tokens; 0 before the request is recorded. */
     public get askedTokens(): number {
         return this.asked;
     }
 
-    /** The same once a target has it; 0 if none ran it. */
+    /** Tokens charged as served: the requested tokens once the request was sent to a target; 0 if no target executed it. */
     public get servedTokens(): number {
         return this.served;
     }
 
-    /** Tokens that it is expected to generate. */
+    /** Output tokens that the request is expected to generate. */
     public get outputTokens(): number {
         const { head, route } = this.routed;
         return this.context.outputLengths.find(route.name).estimate(head.maxOutputTokens);
     }
 
+    /** Charges the request's tokens as requested. */
     public recordAsked(): void {
         const { account, head } = this.routed;
         if (account !== undefined && head.promptTokens > 0) {
@@ -47,7 +48,7 @@
         }
     }
 
-    /** It is sent to a target; sent once more, it counts once all the same. */
+    /** Charges the request's tokens as served when it is sent to a target; a retry is not charged again. */
     public recordServed(): void {
         const { account, figures } = this.routed;
         figures.record("sent");
@@ -57,7 +58,7 @@
         }
     }
 
-    /** No target ran it: the account got nothing, and must not be held back for it. */
+    /** Reverts the served charge of a request that no target executed, so that it doesn't hold back the account's later requests. */
     public removeServed(): void {
         const { account } = this.routed;
         if (account !== undefined && this.served > 0) {
@@ -66,10 +67,13 @@
         }
     }
 
-    /** Learns from its whole answer; `tokensPerEvent` is undefined where the operators don't name it. */
+    /**
+     * Updates the output length estimate from a complete response of `events` events. `tokensPerEvent` is undefined where the
+     * configuration doesn't set it.
+     */
     public observeOutput(events: number, tokensPerEvent: number | undefined): void {
         const { route, head } = this.routed;
-        // A stream that the caller resumed has only its rest here.
+        // A resumed stream contains only the remaining events, which would bias the estimate.
         if (tokensPerEvent !== undefined && events > 0 && head.lastEventId === undefined) {
             this.context.outputLengths.find(route.name).observe(events * tokensPerEvent);
         }
--- a/src/gateway/accountFigures.ts
+++ b/src/gateway/accountFigures.ts
@@ -1,7 +1,7 @@
 import type { FlowEnd } from "./flowEndings.js";
 import type { OwnAnswerReason } from "./ownAnswer.js";
 
-/** Reasons for which a request with an account may be refused, other than `busy`. */
+/** Reasons other than `busy` for which a request of an account may be refused. */
 const refusals = [
     "over-share",
     "late",
@@ -13,7 +13,7 @@
     "crashes-targets",
 ] as const satisfies readonly OwnAnswerReason[];
 
-/** What a request may reach on its way; docs/OPERATIONS.md says what each means. */
+/** Stages that a request may reach while it is processed; docs/OPERATIONS.md describes each. */
 export const accountStages = [
     "read",
     "shed",
@@ -38,14 +38,14 @@
 /** One of {@link accountStages}. */
 export type AccountStage = (typeof accountStages)[number];
 
-/** Stages that a request has reached are the bits of a 32-bit number. */
-const mostStages = 31;
-if (accountStages.length > mostStages) {
-    throw new RangeError("more stages than bits");
+/** The stages that a request has reached are stored as bits of a 32-bit signed number. */
+const maxStages = 31;
+if (accountStages.length > maxStages) {
+    throw new RangeError("too many account stages: limit is 31");
 }
 
 const stageIndexes = new Map(accountStages.map((stage, index) => [stage, index]));
-/** Of the stages in which the router refused a request. */
+/** Indexes of the stages in which the router refused a request. */
 const refusedIndexes = accountStages.flatMap((stage, index) =>
     stage === "shed" || stage.startsWith("refused-") ? [index] : [],
 );
@@ -54,41 +54,44 @@
     ...refusals.map(reason => [reason, `refused-${reason}`] as const),
 ]);
 
-/** Requests and tokens by stage. */
+/** Counts of requests and of their tokens by stage. */
 export class StageCounts {
     private readonly requests = new Float64Array(accountStages.length);
     private readonly tokens = new Float64Array(accountStages.length);
 
+    /** Counts one request of `tokens` tokens at the stage with this index. */
     public add(index: number, tokens: number): void {
         this.requests[index] += 1;
         this.tokens[index] += tokens;
     }
 
+    /** Number of requests that reached the stage. */
     public getRequests(stage: AccountStage): number {
         return this.requests[stageIndexes.get(stage) ?? 0];
     }
 
+    /** Tokens of the requests that reached the stage. */
     public getTokens(stage: AccountStage): number {
         return this.tokens[stageIndexes.get(stage) ?? 0];
     }
 
-    /** Stages that a request has reached. */
+    /** Stages that at least one request has reached. */
     public listReached(): readonly AccountStage[] {
         return accountStages.filter(stage => this.getRequests(stage) > 0);
     }
 
-    /** Requests that the router refused, for whatever reason. */
+    /** Number of requests that the router refused, for any reason. */
     public countRefused(): number {
         return refusedIndexes.reduce((sum, index) => sum + this.requests[index], 0);
     }
 
-    /** Takes over the counts of another. */
+    /** Replaces the counts by those of `other`. */
     public setAll(other: StageCounts): void {
         this.requests.set(other.requests);
         this.tokens.set(other.tokens);
     }
 
-    /** What was counted since `before`. */
+    /** Returns the increase of each count since `before`. */
     public createDifference(before: StageCounts): StageCounts {
         const difference = new StageCounts();
         for (let index = 0; index < accountStages.length; index++) {
@@ -99,50 +102,50 @@
     }
 }
 
-/** Accounts that are counted by name; a fleet's steady ones several times over on one router. */
-const mostNamedAccounts = 100;
-/** Stands for all accounts beyond those that are counted by name. */
+/** Maximum number of accounts counted by name, which bounds the number of metric series; several times a fleet's usual number of accounts. */
+const maxNamedAccounts = 100;
+/** Label under which all accounts beyond the limit of named accounts are counted together. */
 export const otherAccounts = "other";
 
-/** What became of the requests of each account at this router since its start. */
+/** Counts the requests of each account on this router since its start, by the stages that they reached. */
 export class AccountFigures {
     private readonly accounts = new Map<string, StageCounts>();
 
-    /** `account`: undefined on public routes; `tokens`: what the request counts against its account's share. */
+    /** Creates the statistics of one request. `account` is undefined on public routes; `tokens` are charged to its account's share. */
     public createRequest(account: string | undefined, tokens: number): RequestFigures {
-        return new RequestFigures(account === undefined ? undefined : this.openCounts(account), tokens);
+        return new RequestFigures(account === undefined ? undefined : this.findCounts(account), tokens);
     }
 
+    /** All accounts that are counted by name, and the group of the others, with their counts. */
     public listAll(): readonly (readonly [account: string, counts: StageCounts])[] {
         return [...this.accounts];
     }
 
-    /** Counts of the account, or of all others together beyond a number of accounts. */
-    private openCounts(account: string): StageCounts {
-        const known = this.accounts.get(account);
-        if (known !== undefined) {
-            return known;
+    /** Finds or creates the counts of the account; beyond the limit of named accounts, those of the group of others. */
+    private findCounts(account: string): StageCounts {
+        const existing = this.accounts.get(account);
+        if (existing !== undefined) {
+            return existing;
         }
-        const name = this.accounts.size < mostNamedAccounts ? account : otherAccounts;
+        const name = this.accounts.size < maxNamedAccounts ? account : otherAccounts;
         const counts = this.accounts.get(name) ?? new StageCounts();
         this.accounts.set(name, counts);
         return counts;
     }
 }
 
-/** Counts one request, at most once in each stage. */
+/** Counts one request, at most once for each stage. */
 export class RequestFigures {
-    /** A bit for each stage that it has reached. */
+    /** Bit mask of the stages that the request has reached. */
     private reached = 0;
 
-    /**
-     * `counts`: of its account, undefined on public routes; `tokens`: what it counts against its account's share.
-     */
+    /** `counts`: those of its account, undefined on public routes; `tokens`: tokens charged to its account's share. */
     public constructor(
         private readonly counts: StageCounts | undefined,
         private readonly tokens: number,
     ) {}
 
+    /** Counts the request at the stage, unless it was counted there before. */
     public record(stage: AccountStage): void {
         const index = stageIndexes.get(stage) ?? 0;
         const bit = 1 << index;
@@ -152,6 +155,7 @@
         }
     }
 
+    /** Counts the request at the stage that describes how it ended. */
     public recordEnd(end: Pick<FlowEnd, "outcome" | "reason"> & Partial<FlowEnd>): void {
         this.record(this.findEndStage(end));
     }
@@ -168,13 +172,13 @@
             case "refused":
                 return refusedStageByReason.get(reason) ?? "refused-other";
             case "left":
-                return this.findLeftStage(firstOutputMs);
+                return this.findDisconnectStage(firstOutputMs);
             default:
                 return "failed";
         }
     }
 
-    private findLeftStage(firstOutputMs: number | undefined): AccountStage {
+    private findDisconnectStage(firstOutputMs: number | undefined): AccountStage {
         if ((this.reached & 1) === 0) {
             return "left-unread";
         }
--- a/src/gateway/accountMetrics.ts
+++ b/src/gateway/accountMetrics.ts
@@ -2,18 +2,18 @@
 import type { ShareUse } from "../decisions/shares/accountShares.js";
 import { accountStages, type AccountStage, type StageCounts } from "./accountFigures.js";
 
-/** One account as this router sees it. */
+/** Statistics of one account on this router. */
 export interface AccountReading {
     readonly account: string;
     readonly counts: StageCounts;
-    /** Its use of its share and of the surplus; undefined for several accounts that are counted together. */
+    /** Computes its usage of its fair share and of the surplus; undefined for the group of accounts that are counted together. */
     readonly computeUse: () => ShareUse | undefined;
 }
 
-/** Written even when no request reached them, so that an account that gets nothing shows a zero. */
+/** Stages exported even when no request reached them, so that an account without service shows a zero instead of no series. */
 const steadyStages: readonly AccountStage[] = ["read", "begun"];
 
-/** Figures by account, which are read when the page is asked for. */
+/** Metrics by account, updated whenever the metrics page is rendered. */
 export class AccountMetrics {
     private readonly requests: Counter<"account" | "stage">;
     private readonly tokens: Counter<"account" | "stage">;
@@ -22,33 +22,34 @@
 
     public constructor(registry: Registry) {
         const registers = [registry];
-        // Pages may be cut: the few gauges come before the many counters.
+        // Collectors may truncate long pages, so the few gauges come before the many counters.
         this.share = new Gauge({
             name: "lynxarch_account_share",
-            help: "What the account got over its fair share, as computed by this router.",
+            help: "Service the account received divided by its fair share, as computed by this router.",
             labelNames: ["account"],
             registers,
         });
         this.surplus = new Gauge({
             name: "lynxarch_account_surplus",
-            help: "What the account got just now over the even level, as computed by this router.",
+            help: "Service the account received recently divided by an equal division of capacity, as computed by this router.",
             labelNames: ["account"],
             registers,
         });
         this.requests = new Counter({
             name: "lynxarch_account_requests_total",
-            help: "Requests by account and what became of them.",
+            help: "Requests by account and stage that they reached.",
             labelNames: ["account", "stage"],
             registers,
         });
         this.tokens = new Counter({
             name: "lynxarch_account_tokens_total",
-            help: "Tokens of these requests as they count against the account's share.",
+            help: "Tokens charged to the account's share for these requests.",
             labelNames: ["account", "stage"],
             registers,
         });
     }
 
+    /** Replaces all values by those of the given accounts. */
     public update(readings: readonly AccountReading[]): void {
         this.requests.reset();
         this.tokens.reset();
--- a/src/gateway/accountSummary.ts
+++ b/src/gateway/accountSummary.ts
@@ -3,22 +3,22 @@
 import { StageCounts } from "./accountFigures.js";
 import type { AccountReading } from "./accountMetrics.js";
 
-const spanMs = 1_000;
-/** Accounts that a line names. */
-const mostAccounts = 5;
+const intervalMs = 1_000;
+/** Maximum number of accounts named in one line. */
+const maxAccounts = 5;
 
 interface RefusedAccount extends AccountReading {
-    /** Within the span. */
+    /** Increase within the last interval. */
     readonly counts: StageCounts;
     readonly refused: number;
 }
 
 /**
- * Writes a line each second in which requests of accounts were refused: what became of the requests of the most refused
- * accounts. Lines of single requests are limited in rate, and of an account with few requests none may be left.
+ * Logs a line for each second in which requests of accounts were refused, with the stages that the requests of the most refused
+ * accounts reached. Log lines of single requests are rate limited, so an account with few requests may not appear in any of them.
  */
 export class AccountSummary implements Disposable {
-    private readonly timer = setInterval(() => this.write(), spanMs);
+    private readonly timer = setInterval(() => this.write(), intervalMs);
     private readonly before = new Map<string, StageCounts>();
 
     public constructor(
@@ -34,8 +34,8 @@
         const refused = this.takeRefused().sort((a, b) => b.refused - a.refused);
         if (refused.length > 0) {
             this.logger.write("info", "accounts with refused requests", {
-                accounts: refused.slice(0, mostAccounts).map(formatAccount).join("; "),
-                others: Math.max(0, refused.length - mostAccounts),
+                accounts: refused.slice(0, maxAccounts).map(formatAccount).join("; "),
+                others: Math.max(0, refused.length - maxAccounts),
             });
         }
     }
--- a/src/gateway/computeShareUse.ts
+++ b/src/gateway/computeShareUse.ts
@@ -1,7 +1,7 @@
 import { noUse, type ShareUse } from "../decisions/shares/accountShares.js";
 import type { GatewayContext } from "./gatewayContext.js";
 
-/** How the account stands, by this router's sums and the peers'; `account` is undefined on public routes. */
+/** Computes the account's usage of its share from the totals of this router and of its peers; `account` is undefined on public routes. */
 export function computeShareUse(
     { configuration, shares, peers, clock }: GatewayContext,
     account: string | undefined,
--- a/src/gateway/configuration.ts
+++ b/src/gateway/configuration.ts
@@ -1,73 +1,73 @@
-/** What may be repeated of a request on a route. */
+/** How often a request on a route may be executed. */
 export type RequestKind =
-    /** May run any number of times. */
+    /** May be executed any number of times. */
     | "idempotent"
-    /** May run once at most. */
+    /** May be executed at most once. */
     | "non-idempotent"
-    /** A stream of events that a model engine generates; runs once unless the route is resumable. */
+    /** A stream of events that a model engine generates; executed at most once unless the route is resumable. */
     | "stream";
 
-/** A service that takes a share of a route's requests. */
+/** A service that receives a part of a route's requests. */
 export interface RouteDestination {
     readonly service: string;
-    /** Relative to the other destinations of the route. */
+    /** Weight relative to the other destinations of the route. */
     readonly weight: number;
 }
 
-/** One route: which requests it takes and how they are served. */
+/** One route: which requests it matches and how they are served. */
 export interface ServedRoute {
     readonly name: string;
     readonly host: string;
-    /** Begins and ends with a slash. */
+    /** Starts and ends with a slash. */
     readonly pathPrefix: string;
     readonly kind: RequestKind;
     readonly destinations: readonly RouteDestination[];
-    /** Longest time a request may be kept waiting; milliseconds. */
+    /** Maximum time that a request may wait; milliseconds. */
     readonly timeoutMs: number;
-    /** Latency objective: a whole answer, or a stream's first event, counts fully within it; milliseconds. */
+    /** Latency objective for a complete response or the first event of a stream; milliseconds. */
     readonly objectiveMs: number;
-    /** Most targets that one request may be sent to. */
+    /** Maximum number of targets that one request may be sent to. */
     readonly maxAttempts: number;
     /** 0 is the highest. */
     readonly priority: number;
-    /** Whether requests need no key. */
+    /** Whether requests need no API key. */
     readonly isPublic: boolean;
-    /** Whether a stream may go on at another target. */
+    /** Whether a stream may be continued at another target. */
     readonly isResumable: boolean;
-    /** Whether requests carry the parts of their prompt. */
+    /** Whether requests list the parts of their prompt. */
     readonly hasPrompts: boolean;
-    /** Longest pause between two events that is still on time; milliseconds. */
+    /** Objective for the pause between two events of a stream; milliseconds. */
     readonly pauseObjectiveMs: number;
 }
 
-/** What a model service's engines can hold. */
+/** Capacity of each engine of a model service. */
 export interface EngineCapacity {
-    /** Requests that run in one batch. */
+    /** Requests that an engine runs in one batch. */
     readonly slots: number;
-    /** Tokens that running requests and cached prompt parts share. */
+    /** Cache size in tokens, shared by running requests and cached prompt parts. */
     readonly cacheTokens: number;
-    /** Generated tokens in one event of a stream; undefined where the operators don't say. */
+    /** Generated tokens in one event of a stream; undefined where the operators don't configure it. */
     readonly tokensPerEvent: number | undefined;
-    /** Size of one cached token; undefined where engines can't copy cached tokens from one another. */
+    /** Size of one cached token in bytes; undefined where engines can't copy cached tokens from one another. */
     readonly bytesPerToken: number | undefined;
-    /** Bandwidth of an engine's link for such copies, in bytes a millisecond. */
+    /** Bandwidth of an engine's link for such copies; bytes per millisecond. */
     readonly transferBytesPerMs: number | undefined;
 }
 
 /** A service that targets serve. */
 export interface ServedService {
     readonly name: string;
-    /** Connections that one target accepts from all routers together. */
+    /** Maximum number of connections that one target accepts from all routers together. */
     readonly maxConnections: number;
     /** How long a target stays cold after its start; milliseconds. */
     readonly coldStartMs: number;
-    /** Requests a second that a cold target bears, from all routers together. */
+    /** Maximum requests per second to one cold target from all routers together. */
     readonly coldRequestsPerSecond: number;
-    /** Undefined for plain services. */
+    /** Undefined for services without model engines. */
     readonly engine: EngineCapacity | undefined;
 }
 
-/** A client account and the keys that name it. */
+/** A client account and its API keys. */
 export interface ServedAccount {
     readonly name: string;
     readonly apiKeys: readonly string[];
@@ -75,19 +75,19 @@
     readonly priority: number | undefined;
 }
 
-/** Bounds on callers. */
+/** Limits on callers' requests and connections, and the capacity that accounts share. */
 export interface CallerLimits {
     readonly maxHeaderBytes: number;
     readonly maxBodyBytes: number;
     readonly headerTimeoutMs: number;
     readonly idleTimeoutMs: number;
-    /** Tokens a second that all engines give together; undefined when there is no such figure. */
+    /** Tokens per second that all engines process together; undefined where the operators don't configure it. */
     readonly tokensPerSecond: number | undefined;
 }
 
-/** The operators' configuration, whole. */
+/** The complete configuration set by the operators. */
 export interface ServedConfiguration {
-    /** Rises with each change, in uneven steps. */
+    /** Increases with each change, not necessarily by 1. */
     readonly version: number;
     readonly routes: readonly ServedRoute[];
     readonly services: readonly ServedService[];
--- a/src/gateway/configurationHolder.ts
+++ b/src/gateway/configurationHolder.ts
@@ -2,7 +2,7 @@
 import type { FleetSource } from "./fleetSource.js";
 import type { CallerLimits, ServedAccount, ServedConfiguration, ServedRoute } from "./configuration.js";
 
-/** A configuration with what is looked up in it. */
+/** The configuration in force with its lookup structures. */
 export interface ConfigurationInForce {
     readonly version: number;
     readonly routes: RouteTable<ServedRoute>;
@@ -12,23 +12,23 @@
     readonly source: ServedConfiguration;
 }
 
-/** Holds the configuration in force, whose version never falls while the process lives. */
+/** Holds the configuration in force; its version never decreases during the lifetime of the process. */
 export class ConfigurationHolder {
     private inForce: ConfigurationInForce | undefined;
 
-    /** Undefined before the first one was read. */
+    /** Undefined before the first configuration is received. */
     public get current(): ConfigurationInForce | undefined {
         return this.inForce;
     }
 
-    /** The version in force while the platform is reached; otherwise a newer one may be in force at other routers. */
+    /** The version in force; undefined while the platform is unreachable, as other routers may then have a newer version. */
     public findFreshVersion({ health }: Pick<FleetSource, "health">): number | undefined {
         return health.isConnected ? this.inForce?.version : undefined;
     }
 
     /**
-     * Puts a configuration in force. False when it is not newer: a read that was under way while a newer one arrived,
-     * or a peer that lags, would otherwise bring back routes and keys that operators have taken away.
+     * Puts a configuration in force; returns false when it is not newer than the current one. A read that started before a newer
+     * configuration arrived, or a peer that lags behind, would otherwise restore routes and keys that operators have removed.
      */
     public apply(configuration: ServedConfiguration): boolean {
         if (this.inForce !== undefined && configuration.version <= this.inForce.version) {
--- a/src/gateway/connectionRelay.ts
+++ b/src/gateway/connectionRelay.ts
@@ -1,52 +1,54 @@
 import { connect, type Socket } from "node:net";
 import type { Disposable } from "../base/lifecycle.js";
 
-/** What becomes of a connection that is to be handed over. */
+/** Receives the result of a connection handover. */
 export interface RelayObserver {
-    /** The neighbour has the connection. */
+    /** The neighbour accepted the connection. */
     handleHandedOver(): void;
-    /** The neighbour could not be reached: nothing was passed on, and the socket is as it was. */
+    /** The neighbour did not accept the connection: no data was forwarded, and the socket is in its original state. */
     handleUnreached(socket: Socket): void;
 }
 
 /**
- * What a neighbour sends first when it takes a connection. One that has just started does not know its senders yet, and one that is busy
- * does not read what its kernel has accepted: without the byte a request that was passed on there would be lost.
+ * First byte that a neighbour sends to confirm that it accepts a connection. A neighbour that has just started can't identify its senders
+ * yet and closes their connections, and a busy one does not read what its kernel has accepted. Without this confirmation, a request that was
+ * forwarded to it would be lost.
  */
 export const acceptByte = Buffer.from([0x06]);
-/** A neighbour that does not take a connection within this time is busy itself; milliseconds. */
+/** A neighbour that does not accept a connection within this time is considered busy itself; milliseconds. */
 const acceptTimeoutMs = 150;
 /**
- * Turns of the event loop after a caller's first bytes within which the end of its connection is read, if it closed before: its
- * request must not be worked on for nobody.
+ * Event loop iterations to wait after a caller's first bytes. If the caller has already closed its connection, the close event arrives
+ * within these iterations, and the request is not forwarded: its response would have no recipient.
  */
-const turnsUntilClose = 3;
-/** A caller that sends nothing for so long is closed, as a server closes it whose header is overdue; milliseconds. */
+const iterationsUntilClose = 3;
+/** A caller's connection without data for this time is closed, as an HTTP server does on its header timeout; milliseconds. */
 const firstBytesTimeoutMs = 3_000;
-/** Read of a caller before its neighbour is connected; the rest stays in the kernel. */
-const mostHeldBytes = 65_536;
+/** Maximum bytes read from a caller before the neighbour accepts; further data stays in the kernel's buffer. */
+const maxBufferedBytes = 65_536;
 
-/** Passes whole connections of callers on to a neighbour, byte by byte and unread. */
+/** Forwards callers' connections to a neighbour as raw bytes, without parsing them. */
 export class ConnectionRelay implements Disposable {
     private readonly sockets = new Set<Socket>();
-    private passedOn = 0;
+    private openCount = 0;
 
-    /** `ownIp`: the address that neighbours know this router by. */
+    /** `ownIp`: source address by which neighbours identify this router. */
     public constructor(
         private readonly ownIp: string,
         private readonly port: number,
     ) {}
 
-    /** Connections that are to be passed on, or are being so. */
+    /** Number of connections that are waiting for a neighbour or being forwarded. */
     public get size(): number {
         return this.sockets.size;
     }
 
-    /** Connections that neighbours have. */
+    /** Number of open connections that neighbours have accepted. */
     public get open(): number {
-        return this.passedOn;
+        return this.openCount;
     }
 
+    /** Offers the connection to the neighbour once the caller has sent data. */
     public add(socket: Socket, neighbourIp: string, observer: RelayObserver): void {
         this.sockets.add(socket);
         socket.once("close", () => this.sockets.delete(socket));
@@ -61,8 +63,8 @@
             });
             relayed.connect(upstream, {
                 handleHandedOver: () => {
-                    this.passedOn += 1;
-                    socket.once("close", () => (this.passedOn -= 1));
+                    this.openCount += 1;
+                    socket.once("close", () => (this.openCount -= 1));
                     observer.handleHandedOver();
                 },
                 handleUnreached: () => {
@@ -78,35 +80,36 @@
     }
 }
 
-/** One connection, from the caller's first bytes to the end of both sides. */
+/** One forwarded connection, from the caller's first bytes until both sides have ended. */
 class RelayedConnection {
-    private readonly held: Buffer[] = [];
-    private heldBytes = 0;
-    private hasLeft = false;
+    private readonly buffered: Buffer[] = [];
+    private bufferedBytes = 0;
+    private isDisconnected = false;
     private isWaiting = false;
-    private readonly handleData = (chunk: Buffer): void => this.addHeld(chunk);
-    private readonly handleLeft = (): void => {
-        this.hasLeft = true;
+    private readonly handleData = (chunk: Buffer): void => this.addBuffered(chunk);
+    private readonly handleDisconnect = (): void => {
+        this.isDisconnected = true;
         this.socket.destroy();
     };
 
-    /** `onDidRead`: the caller has sent something and is still there. */
+    /** `onDidRead`: the caller has sent data and is still connected. */
     public constructor(
         private readonly socket: Socket,
         private readonly onDidRead: () => void,
     ) {
-        socket.setTimeout(firstBytesTimeoutMs, this.handleLeft);
+        socket.setTimeout(firstBytesTimeoutMs, this.handleDisconnect);
         socket.on("data", this.handleData);
-        socket.once("end", this.handleLeft);
+        socket.once("end", this.handleDisconnect);
         socket.on("error", () => socket.destroy());
-        socket.once("close", () => (this.hasLeft = true));
+        socket.once("close", () => (this.isDisconnected = true));
     }
 
+    /** Waits until the neighbour accepts the connection, then forwards the data in both directions. */
     public connect(upstream: Socket, observer: RelayObserver): void {
-        let isOver = false;
+        let isDecided = false;
         const end = (handle: () => void): void => {
-            if (!isOver) {
-                isOver = true;
+            if (!isDecided) {
+                isDecided = true;
                 upstream.setTimeout(0);
                 handle();
             }
@@ -119,35 +122,35 @@
         this.socket.once("close", () => upstream.destroy());
     }
 
-    private addHeld(chunk: Buffer): void {
-        this.held.push(chunk);
-        this.heldBytes += chunk.length;
-        if (this.heldBytes > mostHeldBytes) {
+    private addBuffered(chunk: Buffer): void {
+        this.buffered.push(chunk);
+        this.bufferedBytes += chunk.length;
+        if (this.bufferedBytes > maxBufferedBytes) {
             this.socket.pause();
         }
         if (!this.isWaiting) {
             this.isWaiting = true;
-            this.waitForClose(turnsUntilClose);
+            this.waitForClose(iterationsUntilClose);
         }
     }
 
-    private waitForClose(turns: number): void {
-        if (this.hasLeft) {
+    private waitForClose(iterations: number): void {
+        if (this.isDisconnected) {
             return;
         }
-        if (turns === 0) {
+        if (iterations === 0) {
             this.onDidRead();
             return;
         }
-        setImmediate(() => this.waitForClose(turns - 1));
+        setImmediate(() => this.waitForClose(iterations - 1));
     }
 
-    private stopHolding(): void {
+    private stopBuffering(): void {
         this.socket.pause();
         this.socket.setTimeout(0);
-        this.socket.off("timeout", this.handleLeft);
+        this.socket.off("timeout", this.handleDisconnect);
         this.socket.off("data", this.handleData);
-        this.socket.off("end", this.handleLeft);
+        this.socket.off("end", this.handleDisconnect);
     }
 
     private handleAccepted(upstream: Socket, first: Buffer, observer: RelayObserver): void {
@@ -157,8 +160,8 @@
             this.release(observer);
             return;
         }
-        this.stopHolding();
-        if (this.hasLeft) {
+        this.stopBuffering();
+        if (this.isDisconnected) {
             upstream.destroy();
             return;
         }
@@ -167,21 +170,21 @@
         this.connectSides(upstream);
     }
 
-    /** The end of either side is passed on as it comes; a break ends both. */
+    /** Forwards data and end of stream in both directions; an error on either side closes both. */
     private connectSides(upstream: Socket): void {
         const { socket } = this;
-        upstream.write(Buffer.concat(this.held.splice(0)));
+        upstream.write(Buffer.concat(this.buffered.splice(0)));
         socket.pipe(upstream);
         upstream.pipe(socket);
         upstream.once("close", hasError => (hasError ? socket.resetAndDestroy() : socket.destroySoon()));
     }
 
     private release(observer: RelayObserver): void {
-        this.stopHolding();
-        if (this.hasLeft) {
+        this.stopBuffering();
+        if (this.isDisconnected) {
             return;
         }
-        this.socket.unshift(Buffer.concat(this.held.splice(0)));
+        this.socket.unshift(Buffer.concat(this.buffered.splice(0)));
         observer.handleUnreached(this.socket);
         this.socket.resume();
     }
--- a/src/gateway/connectionSharing.ts
+++ b/src/gateway/connectionSharing.ts
@@ -8,21 +8,21 @@
 import type { GatewaySettings } from "./settings.js";
 import type { RouterCondition } from "./peers/peerMessage.js";
 
-/** What a router knows of the others that it shares connections with. */
+/** Reported state and addresses of the routers that connections are shared with. */
 export interface SharingPeers {
     readonly conditions: ReadonlyMap<string, RouterCondition>;
     findAddress(routerId: string): string | undefined;
     findRouter(ip: string): string | undefined;
 }
 
-/** What a {@link ConnectionSharing} needs. */
+/** Options of a {@link ConnectionSharing}. */
 export interface ConnectionSharingOptions {
-    /** Otherwise connections are neither handed over nor taken. */
+    /** Whether connections are handed over and accepted from neighbours. */
     readonly isEnabled: boolean;
     readonly ip: string;
     readonly port: number;
     readonly dataCentre: string;
-    /** Connections that may be passed on at a time; each takes two descriptors. */
+    /** Maximum number of connections forwarded at a time; each uses two descriptors. */
     readonly mostRelayed: number;
     readonly peers: SharingPeers;
     readonly load: Pick<LoadSource, "loop">;
@@ -31,39 +31,39 @@
     readonly random: Random;
 }
 
-/** Part of the descriptors that connections may take that are passed on; each takes two. */
-const relayedDescriptorShare = 0.1;
+/** Maximum forwarded connections as a fraction of the descriptor limit; each connection uses two descriptors. */
+const maxRelayedDescriptorShare = 0.1;
 
-/** The options of a router with these settings. */
+/** Builds the options from a router's settings. */
 export function createSharingOptions(
     { ip, peerPorts, dataCentre, limits, handsOverConnections }: GatewaySettings,
     parts: Pick<ConnectionSharingOptions, "peers" | "load" | "clock" | "random" | "getConfigurationVersion">,
 ): ConnectionSharingOptions {
-    const mostRelayed = Math.floor(limits.maxDescriptors * relayedDescriptorShare);
+    const mostRelayed = Math.floor(limits.maxDescriptors * maxRelayedDescriptorShare);
     return { ip, port: peerPorts[1], dataCentre, mostRelayed, isEnabled: handsOverConnections, ...parts };
 }
 
-/** Connections that were shared since the start. */
+/** Counts of shared connections since the start of the process. */
 export interface SharedConnections {
     readonly handedOver: number;
     readonly received: number;
-    /** The neighbour could not be reached, so that this router served them. */
+    /** Connections served by this router because the neighbour did not accept them. */
     readonly unreached: number;
 }
 
-/** Hands new connections to neighbours while this router is short of processor time, and takes theirs. */
+/** Hands new connections over to neighbours while this router is short of processor time, and accepts connections from them. */
 export class ConnectionSharing implements Disposable {
     private readonly choice = new ConnectionHandOver();
     private readonly relay: ConnectionRelay;
     private readonly server: Server;
-    /** Connections that a neighbour handed over, with its id; they are served here and never handed on. */
+    /** Connections that a neighbour handed over, with the neighbour's id; they are served here and not forwarded again. */
     private readonly received = new WeakMap<Socket, string>();
-    /** Connections whose neighbour could not be reached. */
-    private readonly kept = new WeakSet<Socket>();
+    /** Connections that a neighbour did not accept; they are served here. */
+    private readonly declined = new WeakSet<Socket>();
     private readonly counts = { handedOver: 0, received: 0, unreached: 0 };
-    private takesConnections = true;
+    private isAccepting = true;
 
-    /** `serve`: takes a connection as if its caller had reached this router. */
+    /** `serve`: serves a connection as if its caller had connected to this router directly. */
     public constructor(
         private readonly options: ConnectionSharingOptions,
         private readonly serve: (socket: Socket) => void,
@@ -72,15 +72,17 @@
         this.server = createServer({ allowHalfOpen: true, noDelay: true }, socket => this.receive(socket));
     }
 
+    /** Counts of shared connections since the start of the process. */
     public get shared(): SharedConnections {
         return this.counts;
     }
 
-    /** Connections that neighbours have. */
+    /** Number of open connections that neighbours have accepted. */
     public get open(): number {
         return this.relay.open;
     }
 
+    /** Starts accepting connections from neighbours, if sharing is enabled. */
     public listen(): Promise<void> {
         const { ip, port, isEnabled } = this.options;
         if (!isEnabled) {
@@ -92,10 +94,10 @@
         });
     }
 
-    /** Hands the connection to a neighbour; false: this router is to serve it. */
+    /** Tries to hand the connection over to a neighbour; returns false if this router must serve it. */
     public offer(socket: Socket): boolean {
         const { peers, load, clock, random, mostRelayed, isEnabled } = this.options;
-        if (!isEnabled || this.received.has(socket) || this.kept.has(socket) || this.relay.size >= mostRelayed) {
+        if (!isEnabled || this.received.has(socket) || this.declined.has(socket) || this.relay.size >= mostRelayed) {
             return false;
         }
         const { utilization } = load.loop;
@@ -108,21 +110,21 @@
             handleHandedOver: () => (this.counts.handedOver += 1),
             handleUnreached: unreached => {
                 this.counts.unreached += 1;
-                this.kept.add(unreached);
+                this.declined.add(unreached);
                 this.serve(unreached);
             },
         });
         return true;
     }
 
-    /** The neighbour that handed the connection over; undefined: its caller reached this router. */
+    /** Id of the neighbour that handed the connection over; undefined if the caller connected to this router directly. */
     public findSender(socket: Socket): string | undefined {
         return this.received.get(socket);
     }
 
-    /** Takes no more connections of neighbours; those that are being passed on go on. */
+    /** Stops accepting connections from neighbours; connections that are being forwarded continue. */
     public stopAccepting(): void {
-        this.takesConnections = false;
+        this.isAccepting = false;
         this.server.close();
     }
 
@@ -133,7 +135,7 @@
 
     private receive(socket: Socket): void {
         const sender = this.options.peers.findRouter(socket.remoteAddress ?? "");
-        if (sender === undefined || !this.takesConnections) {
+        if (sender === undefined || !this.isAccepting) {
             socket.destroy();
             return;
         }
@@ -143,13 +145,13 @@
         this.serve(socket);
     }
 
-    /** Not those behind this router's configuration: a caller would get from them what is no longer in force here. */
+    /** Excludes neighbours with an older configuration: they would apply routes and keys that are no longer in force here. */
     private listNeighbours(): readonly Neighbour[] {
         const { peers, dataCentre, getConfigurationVersion } = this.options;
-        const leastVersion = getConfigurationVersion() ?? Number.POSITIVE_INFINITY;
+        const minVersion = getConfigurationVersion() ?? Number.POSITIVE_INFINITY;
         return [...peers.conditions]
             .filter(([, condition]) => condition.dataCentre === dataCentre && !condition.isWithdrawn)
-            .filter(([, { configurationVersion = Number.NEGATIVE_INFINITY }]) => configurationVersion >= leastVersion)
+            .filter(([, { configurationVersion = Number.NEGATIVE_INFINITY }]) => configurationVersion >= minVersion)
             .map(([routerId, { processorShare, utilization }]) => ({ routerId, processorShare, utilization }));
     }
 }
--- a/src/gateway/departureBudget.ts
+++ b/src/gateway/departureBudget.ts
@@ -1,37 +1,38 @@
 import type { RemovalBounds } from "../decisions/health/lapsePolicy.js";
 
 /**
- * How the time after which a leaving target must get nothing more is spent, at worst; milliseconds. The parts add up to that time:
- * whoever reads records or keeps targets takes its times from here.
+ * Divides the time within which a leaving target must stop receiving requests into the delays that add up in the worst case;
+ * milliseconds. The parts add up to that time, so the readers of records and the code that keeps removed targets derive their timeouts
+ * from here.
  */
 export interface DepartureBudget {
-    /** From one read of the targets' records to the next. */
+    /** Time between the starts of two reads of the targets' records. */
     readonly periodMs: number;
-    /** For so long a read waits for a change. */
+    /** Time that a read waits at the store for a change. */
     readonly waitMs: number;
-    /** For so long beyond it the answer is waited for; then the read is lost. */
+    /** Time beyond `waitMs` until a read without a response counts as failed. */
     readonly answerMs: number;
-    /** Until a lost read is repeated, at most. */
+    /** Maximum pause before a failed read is repeated. */
     readonly pauseMs: number;
-    /** For the repeated read, and for requests that are on their way to the target. */
+    /** Time for the repeated read and for requests that are in transit to the target. */
     readonly deliveryMs: number;
 }
 
-/** Parts of the whole; they add up to 1. A store that is slow but up answers within `answer`. */
-const parts = { period: 0.5, wait: 0.05, answer: 0.2, pause: 0.1, delivery: 0.15 } as const;
+/** Fractions of the whole time; they add up to 1. A slow but working store responds within `response`. */
+const fractions = { period: 0.5, wait: 0.05, response: 0.2, pause: 0.1, delivery: 0.15 } as const;
 
-/** Spends the time between a target's leaving, as the platform's store acknowledged it, and the last request that may reach it. */
+/** Divides the time from the store's acknowledgement that a target is leaving to the last request that may reach the target. */
 export function computeDepartureBudget(drainMs: number): DepartureBudget {
     return {
-        periodMs: drainMs * parts.period,
-        waitMs: drainMs * parts.wait,
-        answerMs: drainMs * parts.answer,
-        pauseMs: drainMs * parts.pause,
-        deliveryMs: drainMs * parts.delivery,
+        periodMs: drainMs * fractions.period,
+        waitMs: drainMs * fractions.wait,
+        answerMs: drainMs * fractions.response,
+        pauseMs: drainMs * fractions.pause,
+        deliveryMs: drainMs * fractions.delivery,
     };
 }
 
-/** Bounds on how long a target may be kept whose record is gone. */
+/** Computes the limits on how long a target is kept after its record was removed. */
 export function computeRemovalBounds({ drainMs, contactMs }: Omit<RemovalBounds, "deliveryMs">): RemovalBounds {
     return { drainMs, contactMs, deliveryMs: computeDepartureBudget(drainMs).deliveryMs };
 }
