--- a/src/gateway/accountCharge.ts
+++ b/src/gateway/accountCharge.ts
@@ -4,7 +4,7 @@
 /** Weight of an output token in an account's share: generating one costs about as much as prefilling this many prompt tokens. */
 const outputTokenWeight = 2;
 
-/** Tokens that a request is charged to its account's share: its prompt tokens plus its weighted expected output tokens; 0 without a prompt. */
+/** Tokens charged to an account's share for a request: prompt tokens plus weighted expected output tokens; 0 without a prompt. */
 export function computeChargedTokens(
     { outputLengths }: Pick<GatewayContext, "outputLengths">,
     { head, route }: Pick<RoutedRequest, "head" | "route">,
--- a/src/gateway/accountMetrics.ts
+++ b/src/gateway/accountMetrics.ts
@@ -25,13 +25,13 @@
         // Collectors may truncate long pages, so the few gauges come before the many counters.
         this.share = new Gauge({
             name: "lynxarch_account_share",
-            help: "Service the account received divided by its fair share, as computed by this router.",
+            help: "Tokens served to the account relative to its fair share, as computed by this router; 1 is the whole share.",
             labelNames: ["account"],
             registers,
         });
         this.surplus = new Gauge({
             name: "lynxarch_account_surplus",
-            help: "Service the account received recently divided by an equal division of capacity, as computed by this router.",
+            help: "Tokens recently served to the account relative to the even level among accounts, as computed by this router.",
             labelNames: ["account"],
             registers,
         });
--- a/src/gateway/connectionRelay.ts
+++ b/src/gateway/connectionRelay.ts
@@ -10,9 +10,9 @@
 }
 
 /**
- * First byte that a neighbour sends to confirm that it accepts a connection. A neighbour that has just started can't identify its senders
- * yet and closes their connections, and a busy one does not read what its kernel has accepted. Without this confirmation, a request that was
- * forwarded to it would be lost.
+ * First byte that a neighbour sends to confirm that it accepts a connection. A neighbour that has just started can't identify senders yet
+ * and closes their connections, and a busy one does not read connections that its kernel has accepted. Without this confirmation, a request
+ * that was forwarded to such a neighbour would be lost.
  */
 export const acceptByte = Buffer.from([0x06]);
 /** A neighbour that does not accept a connection within this time is considered busy itself; milliseconds. */
--- a/src/gateway/engineInspector.ts
+++ b/src/gateway/engineInspector.ts
@@ -3,19 +3,19 @@
 import { LynxarchError } from "../base/errors.js";
 import type { PromptPart, TargetSignals } from "./wire.js";
 
-/** An engine did not list the parts that it keeps. */
+/** An engine did not list its cached prompt parts. */
 export class EngineListError extends LynxarchError {
     public readonly code = "engine-list-unavailable";
 }
 
-/** An engine's answer about the parts of prompts that it keeps. */
+/** An engine's response to a query for its cached prompt parts. */
 export interface EngineList extends TargetSignals {
-    /** Empty where the engine turned the call away. */
+    /** Empty where the engine rejected the query. */
     readonly parts: readonly PromptPart[];
 }
 
-/** Asks a model engine about itself. */
+/** Queries the state of model engines. */
 export interface EngineInspector {
-    /** Parts of prompts that it keeps now. Errors: no answer in time, or one of another form. */
+    /** Lists the prompt parts that the engine has cached. Errors: no response in time, or a malformed one. */
     listHeldParts(address: string, token: CancellationToken): ResultAsync<EngineList, EngineListError>;
 }
--- a/src/gateway/fleetChanges.ts
+++ b/src/gateway/fleetChanges.ts
@@ -3,7 +3,7 @@
 import type { GatewayContext } from "./gatewayContext.js";
 import type { Rollouts } from "./rollouts/rollouts.js";
 
-/** Puts the platform's changes in force. */
+/** Applies changes reported by the platform. */
 export class FleetChanges {
     public constructor(
         private readonly context: Pick<GatewayContext, "configuration" | "directory" | "logger">,
@@ -11,6 +11,7 @@
         private readonly applyLimits: (limits: CallerLimits) => void,
     ) {}
 
+    /** Passes a change to the component that it concerns. */
     public apply(change: FleetChange): void {
         switch (change.kind) {
             case "configuration":
@@ -32,7 +33,10 @@
         const before = configuration.current?.version;
         const { version, limits } = next;
         if (!configuration.apply(next)) {
-            logger.write("info", "an older configuration is left aside", { version, inForce: before });
+            logger.write("info", "configuration ignored: not newer than the one in force", {
+                version,
+                inForce: before,
+            });
             return;
         }
         directory.applyConfiguration(next);
--- a/src/gateway/fleetSource.ts
+++ b/src/gateway/fleetSource.ts
@@ -7,84 +7,85 @@
 
 export type { StoreOutage } from "../decisions/health/lapsePolicy.js";
 
-/** A target as it registered itself. */
+/** A target's registration, as the target wrote it. */
 export interface TargetEntry {
-    /** Name of this incarnation's registration; a restarted target may keep it. */
+    /** Key of the registration; a restarted target may reuse it. */
     readonly id: string;
     readonly service: string;
     /** `IP:PORT`. */
     readonly address: string;
     readonly dataCentre: string;
-    /** Of its software; undefined when it does not say. */
+    /** Version of its software; undefined when not reported. */
     readonly version: string | undefined;
     readonly slots: number;
     readonly state: "ready" | "draining";
-    /** How much longer the target is cold, as it said when the entry was written; milliseconds. */
+    /** Remaining time for which the target is cold, counted from when it wrote the entry; milliseconds. */
     readonly coldLeftMs: number;
-    /** When the target started, by its own clock; undefined when it does not say. Distinguishes restarts under one id. */
+    /** When the target started, by its own clock; undefined when not reported. Distinguishes restarts under one id. */
     readonly startedAtMs: number | undefined;
 }
 
-/** One change of what the platform holds. */
+/** One change of the platform's records. */
 export type FleetChange =
     | { readonly kind: "configuration"; readonly configuration: ServedConfiguration }
-    /** `entry` undefined: the registration is gone. */
+    /** `entry` undefined: the registration was removed. */
     | { readonly kind: "target"; readonly id: string; readonly entry: TargetEntry | undefined }
-    /** A data centre is to get no requests, or may get them again. */
+    /** A data centre was taken out of service, or put back into service. */
     | { readonly kind: "data-centre"; readonly dataCentre: string; readonly isOut: boolean }
-    /** `order` undefined: the operators took it back. */
+    /** `order` undefined: the operators withdrew it. */
     | { readonly kind: "rollout"; readonly service: string; readonly order: RolloutOrder | undefined }
     | { readonly kind: "rollout-status"; readonly status: RolloutStatus };
 
-/** How the link to the platform stands. */
+/** State of the connection to the platform. */
 export interface SourceHealth {
     /** Whether the last call succeeded. */
     readonly isConnected: boolean;
-    /** What is known of the store by reads of the targets' records. */
+    /** State of the store as seen by reads of the targets' records. */
     readonly targets: StoreContact;
-    /** Reads of the platform's records since the start, by whose records and how they ended. */
+    /** Reads of the platform's records since the start of the process, by kind of records and outcome. */
     readonly reads: readonly ReadCount[];
 }
 
-/** How a read of the platform's records ended. */
+/** Outcome of a read of the platform's records. */
 export type ReadOutcome =
     | "answered"
-    /** Turned away for the rate of calls. */
+    /** Rejected by the store's rate limit. */
     | "throttled"
     | "failed"
-    /** Records that had not been read are gone; all keys are read again. */
+    /** The store had dropped changes that were not read yet; all keys are read again. */
     | "history-dropped"
-    /** The store came back from an older copy; all keys are read again. */
+    /** The store was restored from an older copy; all keys are read again. */
     | "older-copy";
 
-/** Reads that ended alike. */
+/** Number of reads with the same kind of records and the same outcome. */
 export interface ReadCount {
     readonly records: "operators" | "targets";
     readonly outcome: ReadOutcome;
     readonly count: number;
 }
 
-/** The platform's newest records as they are, to hand over to a router that can't read them itself. */
+/** The platform's newest records in their original form, for transfer to a router that can't read them itself. */
 export interface SourceSnapshot {
-    /** `value` in base64; what it means is the platform adapter's matter. */
+    /** `value` is base64; only the platform adapter interprets it. */
     readonly records: readonly { readonly topic: string; readonly key: string; readonly value: string }[];
 }
 
-/** Provides what the platform holds: the configuration, the targets, the data centres that are out. */
+/** Provides the platform's records: the configuration, the targets, the data centres that are out of service. */
 export interface FleetSource extends Disposable {
     readonly onDidChange: Event<FleetChange>;
-    /** The platform's store came back from an older copy; what was written last may be lost. */
+    /** Fires when the platform's store was restored from an older copy; the last writes may be lost. */
     readonly onDidRewind: Event<void>;
-    /** The configuration and the targets have been read from the platform, or were taken from a peer. */
+    /** Whether the configuration and the targets have been read from the platform or received from a peer. */
     readonly isUsable: boolean;
     readonly health: SourceHealth;
-    /** Where held requests outlast all routers. */
+    /** Records of held requests, which persist when all routers stop. */
     readonly heldRequests: QuarantineRecords;
-    /** Where routers agree on how roll-outs stand. */
+    /** Records through which routers agree on the state of roll-outs. */
     readonly rollouts: RolloutRecords;
+    /** Starts reading the platform's records. */
     start(): void;
-    /** What was read from the platform; undefined before all of it was. */
+    /** All records read from the platform; undefined before the first complete read. */
     createSnapshot(): SourceSnapshot | undefined;
-    /** Takes what a peer read, where nothing was read from the platform itself. */
+    /** Applies records that a peer read, unless records were read from the platform itself. */
     applySnapshot(snapshot: SourceSnapshot): void;
 }
--- a/src/gateway/gatewayContext.ts
+++ b/src/gateway/gatewayContext.ts
@@ -19,7 +19,7 @@
 import type { TargetDirectory } from "./targetDirectory.js";
 import type { HeaderCodec } from "./wire.js";
 
-/** What the handling of a request draws on. */
+/** Components and state shared by all requests. */
 export interface GatewayContext {
     readonly settings: GatewaySettings;
     readonly clock: Clock;
@@ -32,19 +32,19 @@
     readonly grants: GrantClient;
     readonly quarantine: Quarantine;
     readonly rollouts: Pick<Rollouts, "open" | "observe" | "isTrusted">;
-    /** How this router keeps up. */
+    /** Load of this router's event loop. */
     readonly load: Pick<LoadSource, "shedShare" | "loop">;
     readonly shares: AccountShares;
-    /** Per service. */
+    /** By service name. */
     readonly retryBudgets: Registry<RetryBudget>;
-    /** Per service. */
+    /** By service name. */
     readonly firstTokenModels: Registry<FirstTokenModel>;
-    /** Per service. */
+    /** By service name. */
     readonly readingShares: Registry<ReadingShare>;
-    /** Per service. */
+    /** By service name. */
     readonly denials: Registry<DenialMemory>;
-    /** Per service. */
+    /** By service name. */
     readonly idleShares: Registry<IdleShare>;
-    /** Per route. */
+    /** By route name. */
     readonly outputLengths: Registry<OutputLength>;
 }
--- a/src/gateway/gatewayDaemon.ts
+++ b/src/gateway/gatewayDaemon.ts
@@ -45,7 +45,7 @@
 import { TargetDirectory } from "./targetDirectory.js";
 import type { HeaderCodec } from "./wire.js";
 
-/** What a {@link GatewayDaemon} is put together from. */
+/** Dependencies of a {@link GatewayDaemon}. */
 export interface GatewayParts {
     readonly settings: GatewaySettings;
     readonly clock: Clock;
@@ -55,18 +55,18 @@
     readonly source: FleetSource;
     readonly engines: EngineInspector;
     readonly load: LoadSource;
-    /** Path that the balancer asks for. */
+    /** Path of the balancer's health check. */
     readonly readinessPath: string;
 }
 
-/** After two looks of the balancer, one a second, nothing new comes. */
-const leaveBalancerMs = 2_500;
+/** The balancer checks readiness once a second and sends no new connections after two failed checks; milliseconds. */
+const balancerWithdrawalMs = 2_500;
 const openPollMs = 50;
-/** For closing sockets and ending the process. */
+/** Part of the stop grace period reserved for closing sockets and ending the process; milliseconds. */
 const exitMarginMs = 800;
 const msPerSecond = 1_000;
 
-/** A router that speaks to targets directly: servers, the platform's news, and the way it stops. */
+/** A router that sends requests to targets directly: wires up its servers and the platform's changes, and shuts down gracefully. */
 export class GatewayDaemon implements Disposable {
     private readonly store = new DisposableStore();
     private readonly lifetime = this.store.add(new CancellationTokenSource());
@@ -240,6 +240,7 @@
         );
     }
 
+    /** Whether the balancer should send connections to this router. */
     public get isReady(): boolean {
         return (
             !this.isStopping &&
@@ -249,7 +250,7 @@
         );
     }
 
-    /** Routers that this one knows of, itself included. */
+    /** Number of routers in the peer view, including this one. */
     public get knownRouters(): number {
         return this.peers.routers.routerIds.length;
     }
@@ -265,16 +266,16 @@
         await this.exchange.start();
         await this.sharing.listen();
         await this.callers.listen(...parseAddress(settings.callers));
-        await this.listenAside(
+        await this.listenAt(
             createReadinessApp(this.parts.readinessPath, () => this.isReady),
             settings.readiness,
         );
         if (settings.control !== undefined) {
-            await this.listenAside(createControlApp(source, this.quarantine, this.rollouts), settings.control);
+            await this.listenAt(createControlApp(source, this.quarantine, this.rollouts), settings.control);
         }
         if (settings.metricsPort !== undefined) {
             const app = createMetricsApp(this.metrics, () => describeState(this.context, source));
-            await this.listenAside(app, `${settings.ip}:${settings.metricsPort}`);
+            await this.listenAt(app, `${settings.ip}:${settings.metricsPort}`);
         }
         void this.handover.run();
         void this.heldParts.loadOnceUsable(source);
@@ -283,8 +284,8 @@
     }
 
     /**
-     * Takes changed settings without a break in service: bounds, limits and seeds are in force with the next request.
-     * Addresses that the process listens on can't change while it runs; such a change waits for the next start.
+     * Applies changed settings without interrupting service: limits and seeds are in force with the next request.
+     * Listen addresses can't change while the process runs; such a change takes effect with the next start.
      */
     public applySettings(settings: GatewaySettings): void {
         const { logger } = this.parts;
@@ -292,12 +293,12 @@
         this.settings = settings;
         this.peers.setSeeds(listSeedIps(settings));
         if (before.callers !== settings.callers || before.readiness !== settings.readiness) {
-            logger.write("warn", "changed addresses are in force after the next start", { callers: settings.callers });
+            logger.write("warn", "changed listen addresses take effect after a restart", { callers: settings.callers });
         }
         logger.write("info", "settings in force");
     }
 
-    /** Graceful shutdown: leaves the balancer, ends what is open, and is done within the platform's time. */
+    /** Shuts down within the platform's grace period: fails readiness checks, then waits for open requests and connections. */
     public async stop(): Promise<void> {
         const { logger } = this.parts;
         const { settings } = this;
@@ -306,7 +307,7 @@
         const cancellation = new CancellationTokenSource();
         const timer = setTimeout(() => cancellation.cancel(), settings.stopGraceSeconds * msPerSecond - exitMarginMs);
         this.callers.closeWithAnswers();
-        await sleepOnTimer(leaveBalancerMs, cancellation.token);
+        await sleepOnTimer(balancerWithdrawalMs, cancellation.token);
         this.service.refuseNew();
         this.callers.stopAccepting();
         this.sharing.stopAccepting();
@@ -331,7 +332,7 @@
         this.context.retryBudgets.visitAll(budget => budget.setFloors(floors));
     }
 
-    private async listenAside(app: Hono, address: string): Promise<void> {
+    private async listenAt(app: Hono, address: string): Promise<void> {
         const [host, port] = parseAddress(address);
         const listener = await listenOn(app, host, port);
         if (listener.isErr()) {
--- a/src/gateway/gatewayMetrics.ts
+++ b/src/gateway/gatewayMetrics.ts
@@ -9,23 +9,23 @@
 import type { ReceivedSignal } from "./targetDirectory.js";
 
 const msPerSecond = 1_000;
-/** Around usual objectives of a fraction of a second, and up to usual timeouts; seconds. */
+/** Cover usual latency objectives of a fraction of a second, and usual timeouts at the upper end; seconds. */
 const secondsBuckets = [0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 0.8, 1.2, 2, 4, 8];
 
-/** Figures that are read when they are asked for. */
+/** Current values for the gauges, collected whenever the metrics page is rendered. */
 export interface GatewayFigures {
     readonly openRequests: number;
     readonly configurationVersion: number;
     readonly isPlatformConnected: boolean;
-    /** Age of what is known of targets; undefined before the first read. Milliseconds. */
+    /** Age of the last read that covers all targets' records; undefined before the first read. Milliseconds. */
     readonly targetsViewAgeMs: number | undefined;
     readonly storeReads: readonly ReadCount[];
     readonly peers: number;
-    /** Bytes of the newest message to the other routers, and milliseconds until the next. */
+    /** Size in bytes of the newest message to the other routers, and milliseconds between messages. */
     readonly peerRound: { readonly messageBytes: number; readonly periodMs: number };
-    /** Requests that are held because targets crashed under them. */
+    /** Requests that are held because targets crashed while executing them. */
     readonly heldRequests: number;
-    /** Targets of each service by state. */
+    /** Number of targets by service and state. */
     readonly targets: readonly { readonly service: string; readonly state: string; readonly count: number }[];
     readonly rollouts: readonly RolloutView[];
     readonly sharedConnections: SharedConnections;
@@ -34,9 +34,9 @@
 }
 
 /**
- * Counters and histograms as text for Prometheus. Labels are services and outcomes, a few values each; a label with
- * request ids or routes would grow without bound, and accounts beyond a number are counted together. Counters come first:
- * collectors that cut long pages keep them.
+ * Metrics in the Prometheus text format. Labels have few values, such as services and outcomes: labels with request ids or routes
+ * would grow without bound, and accounts beyond a limit are counted together. Counters come first, so that collectors that truncate
+ * long pages keep them.
  */
 export class GatewayMetrics {
     private readonly registry = new Registry();
@@ -48,38 +48,38 @@
     });
     private readonly owners = new Counter({
         name: "lynxarch_owner_answers_total",
-        help: "Grants that owners of engines were asked for, by whether they answered.",
+        help: "Grant requests to owners of engines, by whether the owner replied.",
         labelNames: ["outcome"],
         registers: [this.registry],
     });
     private readonly attempts = new Counter({
         name: "lynxarch_attempts_total",
-        help: "Sends to targets, by service.",
+        help: "Attempts: requests sent to targets, by service.",
         labelNames: ["service"],
         registers: [this.registry],
     });
     private readonly signals = new Counter({
         name: "lynxarch_target_signals_total",
-        help: "Answers in which targets said that they are leaving or want no requests for a time, by service and signal.",
+        help: "Responses in which targets reported that they are leaving or asked for a pause in requests, by service and signal.",
         labelNames: ["service", "signal"],
         registers: [this.registry],
     });
     private readonly timeliness = new Counter({
         name: "lynxarch_answers_total",
-        help: "Answers that were whole, by service and whether they kept the route's objectives.",
+        help: "Complete responses, by service and whether they met the route's objectives.",
         labelNames: ["service", "timeliness"],
         registers: [this.registry],
     });
     private readonly promptTokens = new Counter({
         name: "lynxarch_prompt_tokens_total",
-        help: "Prompt tokens of answered requests, by service and whether the target had to read them or copied them.",
+        help: "Prompt tokens of completed requests, by service and whether the target prefilled or copied them.",
         labelNames: ["service", "source"],
         registers: [this.registry],
     });
     private readonly accounts = new AccountMetrics(this.registry);
     private readonly sumsAge = new Histogram({
         name: "lynxarch_account_sums_age_seconds",
-        help: "Mean age of the other routers' account sums when a prompt's share was checked.",
+        help: "Mean age of the other routers' account totals when a prompt's share was checked.",
         buckets: secondsBuckets,
         registers: [this.registry],
     });
@@ -92,14 +92,14 @@
     });
     private readonly longestPause = new Histogram({
         name: "lynxarch_longest_pause_seconds",
-        help: "Longest pause between two outputs of an answer.",
+        help: "Longest pause between two outputs of a response.",
         labelNames: ["service"],
         buckets: secondsBuckets,
         registers: [this.registry],
     });
     private readonly duration = new Histogram({
         name: "lynxarch_request_duration_seconds",
-        help: "Time from a request's arrival to the end of its answer.",
+        help: "Time from a request's arrival to the end of its response.",
         labelNames: ["service", "outcome"],
         buckets: secondsBuckets,
         registers: [this.registry],
@@ -117,7 +117,7 @@
                 },
             });
         };
-        addGauge("lynxarch_open_requests", "Requests without a final answer.", figures => figures.openRequests);
+        addGauge("lynxarch_open_requests", "Requests that have not ended.", figures => figures.openRequests);
         addGauge(
             "lynxarch_configuration_version",
             "Version of the configuration in force; 0 before the first.",
@@ -128,12 +128,12 @@
         );
         addGauge(
             "lynxarch_targets_view_age_seconds",
-            "Time since which changes of targets in the platform's store may be unknown here; NaN before the first read.",
+            "Age of this router's view of the targets in the platform's store; NaN before the first read.",
             ({ targetsViewAgeMs }) => (targetsViewAgeMs === undefined ? Number.NaN : targetsViewAgeMs / msPerSecond),
         );
         new Gauge({
             name: "lynxarch_store_reads",
-            help: "Reads of the platform's records since the start, by whose records and how they ended.",
+            help: "Reads of the platform's records since the start, by kind of records and outcome.",
             labelNames: ["records", "outcome"],
             registers,
             collect(): void {
@@ -142,12 +142,16 @@
                 }
             },
         });
-        addGauge("lynxarch_held_requests", "Requests that are held because targets crashed under them.", figures => {
-            return figures.heldRequests;
-        });
+        addGauge(
+            "lynxarch_held_requests",
+            "Requests that are held because targets crashed while executing them.",
+            figures => {
+                return figures.heldRequests;
+            },
+        );
         new Gauge({
             name: "lynxarch_shared_connections",
-            help: "Callers' connections since the start: handed over to neighbours, received, or kept as none could be reached.",
+            help: "Callers' connections since the start: handed over to neighbours, received from them, or declined by them.",
             labelNames: ["outcome"],
             registers,
             collect(): void {
@@ -157,29 +161,37 @@
                 this.set({ outcome: "unreached" }, unreached);
             },
         });
-        addGauge("lynxarch_peers", "Other routers with a recent message.", figures => figures.peers);
+        addGauge(
+            "lynxarch_peers",
+            "Other routers from which a message was received recently.",
+            figures => figures.peers,
+        );
         addGauge("lynxarch_peer_message_bytes", "Size of the newest message to other routers.", figures => {
             return figures.peerRound.messageBytes;
         });
-        addGauge("lynxarch_peer_round_seconds", "Time from one message to other routers to the next.", figures => {
+        addGauge("lynxarch_peer_round_seconds", "Period of messages to other routers.", figures => {
             return figures.peerRound.periodMs / msPerSecond;
         });
-        addGauge("lynxarch_shed_share", "Part of new requests that the router refuses unexamined, 0 to 1.", figures => {
-            return figures.load.shedShare;
-        });
+        addGauge(
+            "lynxarch_shed_share",
+            "Fraction of new requests that the router refuses without reading them, 0 to 1.",
+            figures => {
+                return figures.load.shedShare;
+            },
+        );
         addGauge(
             "lynxarch_loop_utilization",
-            "Part of the time in which the event loop is busy, smoothed.",
+            "Fraction of time in which the event loop is busy, smoothed.",
             figures => {
                 return figures.load.loop.utilization;
             },
         );
-        addGauge("lynxarch_loop_delay_seconds", "By how much timers of the event loop are late, smoothed.", figures => {
+        addGauge("lynxarch_loop_delay_seconds", "Delay of event loop timers, smoothed.", figures => {
             return figures.load.loop.delayMs / msPerSecond;
         });
         new Gauge({
             name: "lynxarch_targets",
-            help: "Targets that are known, by service and state.",
+            help: "Targets known to this router, by service and state.",
             labelNames: ["service", "state"],
             registers,
             collect(): void {
@@ -192,10 +204,12 @@
         new RolloutMetrics(this.registry, () => this.getFigures().rollouts);
     }
 
+    /** Content type of the rendered metrics. */
     public get contentType(): string {
         return this.registry.contentType;
     }
 
+    /** Counts a request that ended. */
     public recordEnd({ tookMs, end }: EndedRequest): void {
         const service = end.service ?? "none";
         const isOwnReason = end.outcome === "refused";
@@ -216,11 +230,12 @@
         }
     }
 
+    /** Counts a signal that a target sent in a response. */
     public recordSignal({ service, kind }: ReceivedSignal): void {
         this.signals.inc({ service, signal: kind });
     }
 
-    /** All figures as text. */
+    /** All metrics in the Prometheus text format. */
     public render(): Promise<string> {
         this.accounts.update(this.getFigures().listAccounts());
         return this.registry.metrics();
--- a/src/gateway/gatewayState.ts
+++ b/src/gateway/gatewayState.ts
@@ -12,10 +12,10 @@
 import type { Rollouts } from "./rollouts/rollouts.js";
 import type { Target } from "./target.js";
 
-/** How a target stands in this router's eyes. */
+/** State of a target as seen by this router. */
 export type TargetCondition = "ready" | "cold" | "draining" | "removed" | "paused" | "out";
 
-/** The condition that decides whether a target gets requests; the most restrictive one that holds. */
+/** Returns the most restrictive condition that applies to the target. */
 export function describeCondition(target: Target, dataCentresOut: readonly string[], nowMs: number): TargetCondition {
     if (target.availability.leaving !== undefined) {
         return "draining";
@@ -32,7 +32,7 @@
     return target.coldUntilMs > nowMs ? "cold" : "ready";
 }
 
-/** Figures for the metrics page. */
+/** Collects the current values for the metrics page. */
 export function buildFigures(
     context: GatewayContext,
     source: FleetSource,
@@ -48,8 +48,8 @@
     for (const target of context.directory.listAll()) {
         const { service } = target.entry;
         const state = describeCondition(target, out, nowMs);
-        const known = counts.get(`${service} ${state}`) ?? { service, state, count: 0 };
-        counts.set(`${service} ${state}`, { ...known, count: known.count + 1 });
+        const existing = counts.get(`${service} ${state}`) ?? { service, state, count: 0 };
+        counts.set(`${service} ${state}`, { ...existing, count: existing.count + 1 });
     }
     return {
         openRequests,
@@ -69,7 +69,7 @@
     };
 }
 
-/** What became of each account's requests here, and how the account stands in this router's books. */
+/** Counts of each account's requests on this router, and the account's usage of its share. */
 export function listAccounts(context: GatewayContext, figures: AccountFigures): readonly AccountReading[] {
     return figures.listAll().map(([account, counts]) => ({
         account,
@@ -78,7 +78,7 @@
     }));
 }
 
-/** What the router reports of itself to its peers. */
+/** The state that the router reports to its peers. */
 export function describeRouter(
     { dataCentre, limits }: Pick<GatewaySettings, "dataCentre" | "limits">,
     { shouldLeaveBalancer, loop }: Pick<LoadSource, "shouldLeaveBalancer" | "loop">,
@@ -95,7 +95,7 @@
     };
 }
 
-/** What the router believes, for people. */
+/** The router's local state, for diagnostics by operators. */
 export function describeState(context: GatewayContext, source: FleetSource): object {
     const nowMs = context.clock.nowMs();
     const out = context.directory.listDataCentresOut();
@@ -125,7 +125,7 @@
     };
 }
 
-/** Where it was learnt that a target is leaving, and how long ago. */
+/** Where the first signal that the target is leaving came from, and how long ago. */
 function describeLeaving({ availability }: Target, nowMs: number): object | undefined {
     const { leaving } = availability;
     return leaving === undefined ? undefined : { source: leaving.source, ageMs: nowMs - leaving.atMs };
--- a/src/gateway/heldPartsLoader.ts
+++ b/src/gateway/heldPartsLoader.ts
@@ -10,9 +10,9 @@
 const usablePollMs = 50;
 
 /**
- * Asks the engines once, at the router's start, which parts of prompts they keep. A router that was restarted believes that
- * nothing is cached anywhere: it sends prompts away from where their shared parts are, and refuses most of them, as each
- * would have to be read as a whole. Later, peers report parts as they are read.
+ * Queries the engines' cached prompt parts once, when the router starts. Without them, a restarted router would assume empty caches:
+ * it would route prompts away from the engines that have their shared parts cached, and refuse most prompts because their estimates
+ * include a complete prefill. Later, peers report parts when they are prefilled.
  */
 export class HeldPartsLoader implements Disposable {
     private readonly cancellation = new CancellationTokenSource();
@@ -23,7 +23,7 @@
         private readonly directory: TargetDirectory,
     ) {}
 
-    /** Asks all model engines that take requests. */
+    /** Queries all model engines that accept requests. */
     public async load(): Promise<void> {
         const { directory } = this;
         const engines = directory
@@ -32,10 +32,10 @@
             .filter(target => directory.isOpen(target));
         const counts = await Promise.all(engines.map(engine => this.loadOne(engine)));
         const parts = counts.reduce((sum, count) => sum + count, 0);
-        this.logger.write("info", "learnt what engines keep", { engines: engines.length, parts });
+        this.logger.write("info", "loaded lists of cached prompt parts", { engines: engines.length, parts });
     }
 
-    /** Waits until the engines are known, and asks them. */
+    /** Waits until the source has listed the engines, then queries them. */
     public async loadOnceUsable(source: Pick<FleetSource, "isUsable">): Promise<void> {
         const { token } = this.cancellation;
         while (!source.isUsable && !token.isCancelled) {
@@ -52,13 +52,13 @@
         const { availability } = engine;
         const list = await this.inspector.listHeldParts(engine.entry.address, this.cancellation.token);
         return list.match(
-            answer => {
-                this.directory.observeSignals(engine, availability, answer);
-                answer.parts.forEach(part => engine.recordPart(part.id, part.tokens));
-                return answer.parts.length;
+            response => {
+                this.directory.observeSignals(engine, availability, response);
+                response.parts.forEach(part => engine.recordPart(part.id, part.tokens));
+                return response.parts.length;
             },
             error => {
-                this.logger.write("info", "an engine does not tell what it keeps", {
+                this.logger.write("info", "failed to list the cached prompt parts of an engine", {
                     target: engine.id,
                     detail: error.message,
                 });
--- a/src/gateway/loadMonitor.ts
+++ b/src/gateway/loadMonitor.ts
@@ -4,21 +4,22 @@
 import type { Logger } from "../base/log.js";
 import { OverloadDetector, type LoopSample } from "../decisions/admission/overload.js";
 
-/** Several samples within the time in which callers begin to leave, and few wake-ups for an idle process. */
+/** Short enough for several samples before callers start to give up, long enough for few wake-ups of an idle process; milliseconds. */
 const samplePeriodMs = 50;
 
-/** Whether this router keeps up with its load. */
+/** Reports whether this router is overloaded. */
 export interface LoadSource extends Disposable {
-    /** Part of new requests that it is too slow for, 0 to 1. */
+    /** Fraction of new requests to refuse because the router is overloaded, 0 to 1. */
     readonly shedShare: number;
-    /** Whether the balancer should leave it out. */
+    /** Whether the balancer should send no new connections to this router. */
     readonly shouldLeaveBalancer: boolean;
-    /** How the event loop keeps up, smoothed. */
+    /** Delay and utilization of the event loop, smoothed. */
     readonly loop: LoopSample;
+    /** Starts sampling. */
     start(): void;
 }
 
-/** Measures how the event loop of this process keeps up. */
+/** Samples delay and utilization of this process's event loop. */
 export class LoadMonitor implements LoadSource {
     private readonly detector = new OverloadDetector();
     private lastUtilization: EventLoopUtilization = performance.eventLoopUtilization();
@@ -46,7 +47,9 @@
         this.timer = setTimeout(() => {
             if (this.detector.observe({ delayMs: this.clock.nowMs() - dueAtMs, utilization: this.takeUtilization() })) {
                 const { delayMs, utilization } = this.detector.loop;
-                const message = this.shouldLeaveBalancer ? "too slow for what reaches it" : "fast enough again";
+                const message = this.shouldLeaveBalancer
+                    ? "event loop overloaded, leaving the balancer"
+                    : "event loop recovered from overload";
                 const fields = { delayMs: Math.round(delayMs), utilization: Number(utilization.toFixed(2)) };
                 this.logger.write("warn", message, fields);
             }
--- a/src/gateway/registry.ts
+++ b/src/gateway/registry.ts
@@ -1,19 +1,21 @@
-/** Makes one object a name, at first use. */
+/** Map that creates a value when its name is first looked up. */
 export class Registry<T> {
-    private readonly known = new Map<string, T>();
+    private readonly values = new Map<string, T>();
 
     public constructor(private readonly create: () => T) {}
 
+    /** Returns the value of this name and creates it if there is none. */
     public find(name: string): T {
-        let found = this.known.get(name);
-        if (found === undefined) {
-            found = this.create();
-            this.known.set(name, found);
+        let value = this.values.get(name);
+        if (value === undefined) {
+            value = this.create();
+            this.values.set(name, value);
         }
-        return found;
+        return value;
     }
 
+    /** Calls `visit` for each value created so far. */
     public visitAll(visit: (value: T) => void): void {
-        this.known.forEach(value => visit(value));
+        this.values.forEach(value => visit(value));
     }
 }
--- a/src/gateway/removedRecords.ts
+++ b/src/gateway/removedRecords.ts
@@ -4,31 +4,31 @@
 import type { LapsePolicy, RemovalVerdict } from "../decisions/health/lapsePolicy.js";
 import type { Target } from "./target.js";
 
-/** What {@link RemovedRecords} need. */
+/** Options of {@link RemovedRecords}. */
 export interface RemovedRecordsOptions {
     readonly clock: Clock;
     readonly logger: Logger;
     readonly lapses: LapsePolicy;
 }
 
-/** That a target's record is gone although the target may live; monotonic times, milliseconds. */
+/** Removal of a target's record while the target itself may still be running; monotonic times, milliseconds. */
 export interface RecordRemoval {
     readonly atMs: number;
-    /** Until then the target may get requests. */
+    /** The target may receive requests until this time. */
     readonly keptUntilMs: number;
 }
 
-/** Targets whose records are gone, and which may live all the same. */
+/** Keeps targets for a limited time after their records were removed, as they may still be running. */
 export class RemovedRecords implements Disposable {
     private readonly timers = new Map<string, NodeJS.Timeout>();
 
-    /** `onDidExpire`: the target is to be taken for gone. */
+    /** `onDidExpire`: called when the time is over and the target must be removed. */
     public constructor(
         private readonly options: RemovedRecordsOptions,
         private readonly onDidExpire: (id: string) => void,
     ) {}
 
-    /** Takes that a target's record is gone; false: the target is, too. */
+    /** Handles the removal of a target's record; returns false if the target must be removed at once. */
     public handleRemoval(target: Target): boolean {
         const { clock, lapses } = this.options;
         const nowMs = clock.nowMs();
@@ -48,7 +48,7 @@
         return true;
     }
 
-    /** The target's record is there again, or its removal is not waited for any more. */
+    /** Cancels the pending removal, because the target's record was written again or the target was removed. */
     public clear(target: Target): void {
         clearTimeout(this.timers.get(target.id));
         this.timers.delete(target.id);
@@ -64,7 +64,7 @@
 
     private writeVerdict({ id }: Target, verdict: RemovalVerdict, nowMs: number): void {
         const { keptUntilMs = nowMs, viewAgeMs, outageAgoMs } = verdict;
-        this.options.logger.write("info", "a target's record is gone", {
+        this.options.logger.write("info", "target record removed", {
             target: id,
             keptForMs: Math.round(keptUntilMs - nowMs),
             viewAgeMs: viewAgeMs === undefined ? undefined : Math.round(viewAgeMs),
--- a/src/gateway/settings.ts
+++ b/src/gateway/settings.ts
@@ -6,59 +6,59 @@
 const port = z.number().int().min(1).max(65_535);
 const address = z.string().regex(/^[^:\s]+:\d{1,5}$/, "must be HOST:PORT");
 
-/** Schema of a gateway's settings. Unknown keys are left aside: the platform may add fields. */
+/** Schema of a gateway's settings. Unknown keys are ignored, because the platform may add fields. */
 export const gatewaySettingsSchema = z.object({
-    /** Unique over the fleet. */
+    /** Unique in the fleet. */
     daemonId: z.string().min(1),
     /** IP address of the VM. */
     ip: z.string().min(1),
     dataCentre: z.string().min(1),
-    /** Where callers reach this router. */
+    /** Address on which this router accepts callers. */
     callers: address,
-    /** Where the balancer asks whether the router is ready. */
+    /** Address of the balancer's readiness check. */
     readiness: address,
-    /** Where other routers read this router's configuration and targets; undefined: nowhere. */
+    /** Address at which other routers read this router's configuration and targets; undefined: not served. */
     control: address.optional(),
-    /** Ports for messages between routers, first and last; the same on all VMs. */
+    /** First and last port for traffic between routers; the same on all VMs. */
     peerPorts: z.tuple([port, port]).readonly(),
-    /** Control addresses of up to three routers, perhaps down. */
+    /** Control addresses of up to three routers, which may be down. */
     seeds: z.array(address).readonly(),
     store: z.object({ address }),
     limits: z.object({
         memoryMb: z.number().positive(),
         maxDescriptors: z.number().int().positive(),
-        /** Part of a core that the process may use. */
+        /** Fraction of a processor core that the process may use. */
         processorShare: z.number().positive().default(1),
     }),
-    /** How long the platform gives a process to stop. */
+    /** Time that the platform allows a process to stop; seconds. */
     stopGraceSeconds: z.number().positive().default(8),
-    /** A target that reported that it is draining must get no requests after this time; how often records are read follows. */
+    /** Time after which a target that reported draining must receive no requests; the period of reads of records is derived from it. */
     drainMs: z.number().positive().default(2_000),
-    /** A VM that nothing disturbed for so long must be up to date; how long calls to the store wait follows. */
+    /** Time without faults after which a VM must be up to date; the timeouts of calls to the store are derived from it. */
     contactMs: z.number().positive().default(3_000),
-    /** A configuration must be in force after this time; how long reads of the operators' records wait follows. */
+    /** Time after which a new configuration must be in force; the timeouts of reads of the operators' records are derived from it. */
     applyMs: z.number().positive().default(2_000),
-    /** Targets write their records about so often; a record lapses after three such times of silence. */
+    /** Approximate interval at which targets write their records; a record expires after three intervals without a write. */
     heartbeatMs: z.number().positive().default(1_200),
     /**
-     * A connection to a target that is not up by then is not worth waiting for: a lost opening packet is sent again only
-     * after a second, and another target is at hand.
+     * Timeout for connecting to a target. Waiting longer has no use: the kernel repeats a lost SYN packet only after a second, and another
+     * target is usually available.
      */
     connectTimeoutMs: z.number().positive().default(350),
-    /** A target's answer with a longer body is broken off: a target in trouble may send bytes without end. */
+    /** Maximum body size of a target's response; longer responses are aborted, because a faulty target may send bytes without end. */
     mostAnswerBytes: z.number().int().positive().default(33_554_432),
-    /** Requests sent once more, over all routers: `ratio` of the first sends within the window, and `slack` on top. */
+    /** Maximum number of retries on all routers together: `ratio` of the first attempts within the window, plus `slack`. */
     retryBudget: z.object({
         ratio: z.number().min(0).default(0.1),
         windowSeconds: z.number().positive().default(10),
         slack: z.number().min(0),
     }),
-    /** What a cold target bears in a second, over all routers: its service's rate times `overage`, and `slack` on top. */
+    /** Maximum requests per second to a cold target from all routers together: its service's rate times `overage`, plus `slack`. */
     coldLimit: z.object({
         overage: z.number().positive().default(1),
         slack: z.number().min(0),
     }),
-    /** What a version that may be bad gets while it is rolled out: `share` of its service's requests, and `slack` on top. */
+    /** Maximum exposure of a version during its roll-out, as it may be faulty: `share` of its service's requests, plus `slack`. */
     exposure: z
         .object({
             share: z.number().positive().max(1).default(0.1),
@@ -66,26 +66,26 @@
         })
         .default({ share: 0.1, slack: 0 }),
     /**
-     * Whether a saturated router hands new connections to neighbours. Off: such a connection depends on two routers, and is lost with
-     * either of them.
+     * Whether a saturated router hands new connections over to neighbours. Off by default: such a connection depends on two routers and is
+     * lost if either of them fails.
      */
     handsOverConnections: z.boolean().default(false),
-    /** Span over which an account's fair share is worked out. */
+    /** Window over which an account's fair share is computed; seconds. */
     shareWindowSeconds: z.number().positive().default(4),
     logLevel: z.enum(logLevels).default("info"),
-    /** Port of the metrics page; undefined: none. */
+    /** Port of the metrics page; undefined: not served. */
     metricsPort: port.optional(),
 });
 
-/** A gateway's settings, checked. */
+/** Validated settings of a gateway. */
 export type GatewaySettings = z.output<typeof gatewaySettingsSchema>;
 
-/** The settings are missing, no JSON, or have a fault; the message names the field of each fault. */
+/** The settings are missing, not valid JSON, or invalid; the message names each invalid field. */
 export class GatewaySettingsError extends LynxarchError {
     public readonly code = "settings-invalid";
 }
 
-/** Reads and checks settings. Errors: unreadable, no JSON, or faults with a line each. */
+/** Reads and validates settings. Errors: unreadable file, invalid JSON, or invalid fields (one line each). */
 export function parseGatewaySettings(
     readText: () => string,
     file: string,
--- a/src/gateway/settingsWatcher.ts
+++ b/src/gateway/settingsWatcher.ts
@@ -4,28 +4,28 @@
 import type { Logger } from "../base/log.js";
 import { parseGatewaySettings, type GatewaySettings } from "./settings.js";
 
-/** A change without a signal is seen within this time; reading a file of a few KB once a second costs next to nothing. */
+/** Maximum delay until a change without a signal is noticed; reading a file of a few KB once a second has negligible cost. Milliseconds. */
 const periodMs = 1_000;
 
-/** Follows the settings file: by signal, and by looking at it, as it may change without one. */
+/** Watches the settings file: the file is read on a signal, and also polled, because it may change without a signal. */
 export class SettingsWatcher implements Disposable {
     private digest: string | undefined;
     private timer: NodeJS.Timeout | undefined;
 
-    /** `onDidRead`: the file holds other settings than before, and they are sound. */
+    /** `onDidRead`: called with the new settings after a change, if they are valid. */
     public constructor(
         private readonly file: string,
         private readonly logger: Logger,
         private readonly onDidRead: (settings: GatewaySettings) => void,
     ) {}
 
-    /** Begins to look at the file; what it holds now is taken as known. */
+    /** Starts polling; the current content does not count as a change. */
     public start(): void {
         this.digest = this.readDigest();
         this.timer = setInterval(() => this.read(), periodMs);
     }
 
-    /** Looks at the file now. */
+    /** Reads the file now and reports changed settings. */
     public read(): void {
         const digest = this.readDigest();
         if (digest === undefined || digest === this.digest) {
@@ -34,7 +34,8 @@
         this.digest = digest;
         parseGatewaySettings(() => readFileSync(this.file, "utf8"), this.file).match(
             settings => this.onDidRead(settings),
-            error => this.logger.write("error", "changed settings are left aside", { detail: error.message }),
+            error =>
+                this.logger.write("error", "changed settings ignored: they are invalid", { detail: error.message }),
         );
     }
 
@@ -46,8 +47,8 @@
         try {
             return createHash("sha256").update(readFileSync(this.file)).digest("hex");
         } catch (error) {
-            // The file is being replaced; the settings in force hold until it can be read again.
-            this.logger.write("warn", "the settings file can't be read", { detail: String(error) });
+            // The file may be in the process of being replaced; the settings in force stay until it can be read again.
+            this.logger.write("warn", "failed to read the settings file", { detail: String(error) });
             return undefined;
         }
     }
--- a/src/gateway/sideServers.ts
+++ b/src/gateway/sideServers.ts
@@ -9,14 +9,14 @@
 /** Path of the metrics page. */
 export const metricsPath = "/metrics";
 
-/** Answers the balancer's question whether the router takes new connections. */
+/** Serves the balancer's readiness check. */
 export function createReadinessApp(path: string, isReady: () => boolean): Hono {
     const app = new Hono();
     app.get(path, context => context.text(isReady() ? "ready" : "not ready", isReady() ? 200 : 503));
     return app;
 }
 
-/** Serves the figures as text, and what the router believes as JSON. */
+/** Serves the metrics as text and the router's local state as JSON. */
 export function createMetricsApp(metrics: GatewayMetrics, describeState: () => object): Hono {
     const app = new Hono();
     app.get(metricsPath, async context => {
@@ -27,7 +27,7 @@
     return app;
 }
 
-/** Serves other routers that start while the platform's store is away, and operators. */
+/** Serves operators, and other routers that start while the platform's store is unavailable. */
 export function createControlApp(
     source: Pick<FleetSource, "createSnapshot">,
     heldRequests: HeldRequests,
--- a/src/gateway/targetDirectory.ts
+++ b/src/gateway/targetDirectory.ts
@@ -15,16 +15,17 @@
 import type { ConnectionLimits } from "./targetConnection.js";
 import type { AnswerHead, TargetSignals } from "./wire.js";
 
+/** Maximum random extension of a requested pause, as a fraction of it. */
 const pauseSpread = 0.1;
-const mostPauseSpreadMs = 250;
+const maxPauseSpreadMs = 250;
 
-/** That an answer carried a signal, for the figures. */
+/** A signal that a target sent in a response, for the metrics. */
 export interface ReceivedSignal {
     readonly service: string;
     readonly kind: "leaving" | "pause" | "unreadable-pause";
 }
 
-/** What a {@link TargetDirectory} needs. */
+/** Options of a {@link TargetDirectory}. */
 export interface TargetDirectoryOptions {
     readonly clock: Clock;
     readonly random: Random;
@@ -33,7 +34,7 @@
     readonly lapses: LapsePolicy;
 }
 
-/** The targets that this router knows, and which of them may get requests. */
+/** Holds the registered targets and decides which of them may receive requests. */
 export class TargetDirectory implements Disposable {
     private readonly targets = new Map<string, Target>();
     private readonly byService = new Map<string, Target[]>();
@@ -50,6 +51,7 @@
         this.removedRecords = new RemovedRecords(options, id => this.remove(id));
     }
 
+    /** Applies the services of a new configuration. */
     public applyConfiguration(configuration: ServedConfiguration): void {
         this.services = new Map(configuration.services.map(service => [service.name, service]));
         for (const target of this.targets.values()) {
@@ -57,6 +59,7 @@
         }
     }
 
+    /** Applies a change of a target's registration or of a data centre. */
     public applyChange(change: FleetChange): void {
         if (change.kind === "target") {
             this.applyEntry(change.id, change.entry);
@@ -73,7 +76,7 @@
         return this.targets.get(id);
     }
 
-    /** By the 32-bit hash of its id, as peers name it. Two ids of one hash would share what is only believed of either. */
+    /** Finds a target by the 32-bit hash of its id, by which peers identify it. Targets with the same hash would share estimates. */
     public findByHash(idHash: number): Target | undefined {
         return this.byHash.get(idHash);
     }
@@ -86,18 +89,18 @@
         return [...this.dataCentresOut];
     }
 
-    /** Targets of a service that may get requests: not leaving, not in a data centre that is out. */
+    /** Targets of a service that may receive new requests: not leaving, pausing or removed, and in a data centre that is in service. */
     public listOpen(service: string): readonly Target[] {
         const nowMs = this.options.clock.nowMs();
         return (this.byService.get(service) ?? []).filter(target => this.isReady(target, nowMs));
     }
 
-    /** Whether the target is known and may get requests. */
+    /** Whether the target is registered and may receive new requests. */
     public isOpen(target: Target): boolean {
         return this.targets.get(target.id) === target && this.isReady(target, this.options.clock.nowMs());
     }
 
-    /** Whether the target must not get even a request that was meant for it: it left, pauses or is out. */
+    /** Whether the target must not receive even an already assigned request: it is leaving, removed, pausing or out of service. */
     public isClosed(target: Target): boolean {
         const nowMs = this.options.clock.nowMs();
         return (
@@ -108,7 +111,7 @@
         );
     }
 
-    /** Time until the first target of a service takes requests again, where all that stay pause; undefined: not all do. */
+    /** Milliseconds until the first target of a service accepts requests again, if all that are not leaving pause; else undefined. */
     public computePauseMs(service: string): number | undefined {
         const nowMs = this.options.clock.nowMs();
         const pauses = (this.byService.get(service) ?? [])
@@ -119,7 +122,7 @@
         return pauses.length === 0 || pauses.includes(0) ? undefined : Math.min(...pauses);
     }
 
-    /** Known targets that are leaving, whatever the evidence: a router that starts later learns it from any of its peers. */
+    /** Leaving targets, whatever the evidence is, so that a router that starts later receives them from any of its peers. */
     public listLeaving(): readonly LeavingTarget[] {
         return [...this.targets.values()]
             .filter(({ availability }) => availability.leaving !== undefined)
@@ -128,7 +131,7 @@
             );
     }
 
-    /** Takes what a peer knows of leaving targets; also of those whose records this router has not read yet. */
+    /** Records leaving targets that a peer reported, including targets whose records this router has not read yet. */
     public applyLeaving(leaving: readonly LeavingTarget[]): void {
         for (const { targetHash, startedAtMs } of leaving) {
             const availability = this.availabilities.find({ idHash: targetHash, startedAtMs });
@@ -137,11 +140,11 @@
     }
 
     /**
-     * Takes what a target says of itself in an answer to one of this router's requests. `availability`: of the incarnation that the
-     * request was sent to; the target may have started anew since, and its new start has said nothing yet.
+     * Records the signals in a target's response to one of this router's requests. `availability` belongs to the incarnation that the
+     * request was sent to: the target may have restarted since, and the signals don't apply to the new incarnation.
      */
     public observeAnswer(target: Target, availability: TargetAvailability, head: AnswerHead): void {
-        // Another target has the address, and speaks of itself.
+        // The address now belongs to another target, so the signals are not this target's.
         if (head.isOtherTarget) {
             return;
         }
@@ -151,7 +154,7 @@
         }
     }
 
-    /** Takes what an incarnation of a target says, in any answer, of whether it takes requests. */
+    /** Records the signals of an incarnation of a target, sent with any response, on whether it accepts requests. */
     public observeSignals(target: Target, availability: TargetAvailability, { isLeaving, pause }: TargetSignals): void {
         const { service } = target.entry;
         if (isLeaving) {
@@ -166,9 +169,11 @@
         }
     }
 
-    /** Another target has the address: the one that was known there is gone, whatever its entry says. */
+    /** Removes a target whose address now belongs to another target, whatever the state of its entry. */
     public removeMoved(target: Target): void {
-        this.options.logger.write("info", "a target's address belongs to another one", { target: target.id });
+        this.options.logger.write("info", "target removed: its address belongs to another target", {
+            target: target.id,
+        });
         this.remove(target.id);
     }
 
@@ -185,7 +190,7 @@
     private recordLeaving(availability: TargetAvailability, target: string | undefined, source: LeavingSource): void {
         const atMs = this.options.clock.nowMs();
         if (availability.recordLeaving({ source, atMs })) {
-            this.options.logger.write("info", "a target is leaving", { target, source });
+            this.options.logger.write("info", "target is leaving", { target, source });
         }
     }
 
@@ -193,10 +198,10 @@
         const { clock, random, logger } = this.options;
         const nowMs = clock.nowMs();
         const isNew = !availability.isClosed(nowMs);
-        // Routers that were asked at the same time must not all return at the same time.
-        const spreadMs = Math.min(askedMs * pauseSpread, mostPauseSpreadMs) * random.next();
+        // Routers that received the pause at the same time must not all resume at the same time.
+        const spreadMs = Math.min(askedMs * pauseSpread, maxPauseSpreadMs) * random.next();
         if (availability.pause.record(askedMs + spreadMs, nowMs) && isNew) {
-            logger.write("info", "a target wants no requests for a time", { target, askedMs });
+            logger.write("info", "target requested a pause", { target, askedMs });
         }
     }
 
@@ -206,39 +211,43 @@
     }
 
     private applyEntry(id: string, entry: TargetEntry | undefined): void {
-        // By such a record a target that has started anew would be taken for the one before, and lose what is known of it.
+        // An outdated record would revert a restarted target to its earlier incarnation and discard its current state.
         if (
             entry !== undefined &&
             !this.availabilities.recordStart({ idHash: hashFast(id), startedAtMs: entry.startedAtMs })
         ) {
-            this.options.logger.write("info", "a record of an earlier start is left aside", { target: id });
+            this.options.logger.write("info", "target record of an earlier start ignored", { target: id });
             return;
         }
-        const known = this.targets.get(id);
+        const existing = this.targets.get(id);
         if (entry === undefined) {
-            if (known !== undefined && !this.removedRecords.handleRemoval(known)) {
+            if (existing !== undefined && !this.removedRecords.handleRemoval(existing)) {
                 this.remove(id);
             }
             return;
         }
-        if (known === undefined || known.entry.address !== entry.address || known.entry.service !== entry.service) {
+        if (
+            existing === undefined ||
+            existing.entry.address !== entry.address ||
+            existing.entry.service !== entry.service
+        ) {
             this.remove(id);
             this.addTarget(entry);
             return;
         }
-        // A target may start again under its id. It then holds nothing and is cold, though its entry may still say
-        // otherwise; only the time of its start shows it.
-        if (known.entry.startedAtMs !== entry.startedAtMs) {
-            this.options.logger.write("info", "a target was started anew", { target: id });
-            known.clearParts();
-            known.connections.closeIdle();
-            known.joinedAtMs = this.options.clock.nowMs();
-            this.setCold(known, this.services.get(entry.service)?.coldStartMs ?? 0);
+        // A target may restart under the same id. Its cache is then empty and it is cold, even if its entry doesn't report that yet;
+        // only the start time reveals the restart.
+        if (existing.entry.startedAtMs !== entry.startedAtMs) {
+            this.options.logger.write("info", "target restarted", { target: id });
+            existing.clearParts();
+            existing.connections.closeIdle();
+            existing.joinedAtMs = this.options.clock.nowMs();
+            this.setCold(existing, this.services.get(entry.service)?.coldStartMs ?? 0);
         }
-        known.applyEntry(entry);
-        this.removedRecords.clear(known);
-        this.setCold(known, entry.coldLeftMs);
-        this.observeRecord(known);
+        existing.applyEntry(entry);
+        this.removedRecords.clear(existing);
+        this.setCold(existing, entry.coldLeftMs);
+        this.observeRecord(existing);
     }
 
     private observeRecord(target: Target): void {
@@ -249,14 +258,16 @@
 
     private applyDataCentre(dataCentre: string, isOut: boolean): void {
         const wasOut = this.dataCentresOut.has(dataCentre);
-        this.options.logger.write("info", isOut ? "a data centre is out" : "a data centre is back", { dataCentre });
+        this.options.logger.write("info", isOut ? "data centre out of service" : "data centre in service", {
+            dataCentre,
+        });
         if (isOut) {
             this.dataCentresOut.add(dataCentre);
             return;
         }
         this.dataCentresOut.delete(dataCentre);
-        // Targets that got nothing for a while have usually been restarted or moved in that time, and are cold when the data
-        // centre comes back; their entries show it a heartbeat later, after a full load would have crashed them.
+        // Targets that received no requests for a while have usually been restarted or moved in the meantime, so they are cold when the
+        // data centre returns to service. Their entries report it only with the next heartbeat; until then, full load would crash them.
         for (const target of wasOut ? this.targets.values() : []) {
             if (target.dataCentre === dataCentre) {
                 this.setCold(target, this.services.get(target.entry.service)?.coldStartMs ?? 0);
@@ -277,11 +288,11 @@
         this.setCold(target, entry.coldLeftMs);
         this.targets.set(entry.id, target);
         this.byHash.set(target.idHash, target);
-        const known = this.byService.get(entry.service) ?? [];
-        known.push(target);
-        this.byService.set(entry.service, known);
+        const serviceTargets = this.byService.get(entry.service) ?? [];
+        serviceTargets.push(target);
+        this.byService.set(entry.service, serviceTargets);
         const { id, service, address, dataCentre, version, state, coldLeftMs } = entry;
-        this.options.logger.write("info", "a target joined", {
+        this.options.logger.write("info", "target added", {
             target: id,
             service,
             address,
@@ -317,7 +328,7 @@
     }
 }
 
-/** Whether its time is over; asked at each send, as a timer is late while the event loop is busy. */
+/** Whether the target is kept no longer without a record; checked at each send, as timers are late while the event loop is busy. */
 function isRemoved({ removal }: Target, nowMs: number): boolean {
     return removal !== undefined && nowMs >= removal.keptUntilMs;
 }
