--- a/src/gateway/accountMetrics.ts
+++ b/src/gateway/accountMetrics.ts
@@ -11,7 +11,7 @@
 }
 
 /** Stages exported even when no request reached them, so that an account without service shows a zero instead of no series. */
-const steadyStages: readonly AccountStage[] = ["read", "begun"];
+const alwaysExportedStages: readonly AccountStage[] = ["read", "begun"];
 
 /** Metrics by account, updated whenever the metrics page is rendered. */
 export class AccountMetrics {
@@ -50,17 +50,17 @@
     }
 
     /** Replaces all values by those of the given accounts. */
-    public update(readings: readonly AccountReading[]): void {
+    public update(snapshots: readonly AccountReading[]): void {
         this.requests.reset();
         this.tokens.reset();
         this.share.reset();
         this.surplus.reset();
-        for (const { account, counts, computeUse } of readings) {
+        for (const { account, counts, computeUse } of snapshots) {
             this.addStages(account, counts);
-            const use = computeUse();
-            if (use !== undefined) {
-                this.share.set({ account }, use.share);
-                this.surplus.set({ account }, use.surplus);
+            const usage = computeUse();
+            if (usage !== undefined) {
+                this.share.set({ account }, usage.share);
+                this.surplus.set({ account }, usage.surplus);
             }
         }
     }
@@ -68,7 +68,7 @@
     private addStages(account: string, counts: StageCounts): void {
         for (const stage of accountStages) {
             const requests = counts.getRequests(stage);
-            if (requests > 0 || steadyStages.includes(stage)) {
+            if (requests > 0 || alwaysExportedStages.includes(stage)) {
                 this.requests.inc({ account, stage }, requests);
                 this.tokens.inc({ account, stage }, counts.getTokens(stage));
             }
--- a/src/gateway/accountSummary.ts
+++ b/src/gateway/accountSummary.ts
@@ -19,7 +19,7 @@
  */
 export class AccountSummary implements Disposable {
     private readonly timer = setInterval(() => this.write(), intervalMs);
-    private readonly before = new Map<string, StageCounts>();
+    private readonly lastCounts = new Map<string, StageCounts>();
 
     public constructor(
         private readonly logger: Logger,
@@ -42,22 +42,22 @@
 
     private takeRefused(): RefusedAccount[] {
         const refused: RefusedAccount[] = [];
-        for (const reading of this.listAccounts()) {
-            const { account, counts } = reading;
-            const before = this.before.get(account) ?? new StageCounts();
+        for (const snapshot of this.listAccounts()) {
+            const { account, counts } = snapshot;
+            const before = this.lastCounts.get(account) ?? new StageCounts();
             const count = counts.countRefused() - before.countRefused();
             if (count > 0) {
-                refused.push({ ...reading, counts: counts.createDifference(before), refused: count });
+                refused.push({ ...snapshot, counts: counts.createDifference(before), refused: count });
             }
             before.setAll(counts);
-            this.before.set(account, before);
+            this.lastCounts.set(account, before);
         }
         return refused;
     }
 }
 
 function formatAccount({ account, counts, refused, computeUse }: RefusedAccount): string {
-    const use = computeUse();
+    const usage = computeUse();
     const shed = counts.getRequests("shed");
     const fields = [
         `read=${counts.getRequests("read")}`,
@@ -67,7 +67,7 @@
         `begun=${counts.getRequests("begun")}`,
         `askedTokens=${Math.round(counts.getTokens("read"))}`,
         `begunTokens=${Math.round(counts.getTokens("begun"))}`,
-        ...(use === undefined ? [] : [`share=${use.share.toFixed(2)}`, `surplus=${use.surplus.toFixed(2)}`]),
+        ...(usage === undefined ? [] : [`share=${usage.share.toFixed(2)}`, `surplus=${usage.surplus.toFixed(2)}`]),
     ];
     return [account, ...fields].join(" ");
 }
--- a/src/gateway/gatewayDaemon.ts
+++ b/src/gateway/gatewayDaemon.ts
@@ -116,8 +116,8 @@
                     this.isStopping,
                     this.context.configuration.findFreshVersion(source),
                 ),
-            onDidSumLoads: sums => {
-                loads.applySums(sums);
+            onDidSumLoads: totals => {
+                loads.applySums(totals);
                 this.updateRetryFloors();
             },
             onDidReceive: message => {
--- a/src/gateway/gatewayMetrics.ts
+++ b/src/gateway/gatewayMetrics.ts
@@ -46,7 +46,7 @@
         labelNames: ["service", "outcome", "reason"],
         registers: [this.registry],
     });
-    private readonly owners = new Counter({
+    private readonly ownerReplies = new Counter({
         name: "lynxarch_owner_answers_total",
         help: "Grant requests to owners of engines, by whether the owner replied.",
         labelNames: ["outcome"],
@@ -77,7 +77,7 @@
         registers: [this.registry],
     });
     private readonly accounts = new AccountMetrics(this.registry);
-    private readonly sumsAge = new Histogram({
+    private readonly totalsAge = new Histogram({
         name: "lynxarch_account_sums_age_seconds",
         help: "Mean age of the other routers' account totals when a prompt's share was checked.",
         buckets: secondsBuckets,
@@ -105,26 +105,26 @@
         registers: [this.registry],
     });
 
-    public constructor(private readonly getFigures: () => GatewayFigures) {
+    public constructor(private readonly getStatistics: () => GatewayFigures) {
         const registers = [this.registry];
-        const addGauge = (name: string, help: string, read: (figures: GatewayFigures) => number): void => {
+        const addGauge = (name: string, help: string, select: (statistics: GatewayFigures) => number): void => {
             new Gauge({
                 name,
                 help,
                 registers,
                 collect(): void {
-                    this.set(read(getFigures()));
+                    this.set(select(getStatistics()));
                 },
             });
         };
-        addGauge("lynxarch_open_requests", "Requests that have not ended.", figures => figures.openRequests);
+        addGauge("lynxarch_open_requests", "Requests that have not ended.", statistics => statistics.openRequests);
         addGauge(
             "lynxarch_configuration_version",
             "Version of the configuration in force; 0 before the first.",
-            figures => figures.configurationVersion,
+            statistics => statistics.configurationVersion,
         );
-        addGauge("lynxarch_platform_connected", "1 while the last call to the platform succeeded.", figures =>
-            figures.isPlatformConnected ? 1 : 0,
+        addGauge("lynxarch_platform_connected", "1 while the last call to the platform succeeded.", statistics =>
+            statistics.isPlatformConnected ? 1 : 0,
         );
         addGauge(
             "lynxarch_targets_view_age_seconds",
@@ -137,7 +137,7 @@
             labelNames: ["records", "outcome"],
             registers,
             collect(): void {
-                for (const { records, outcome, count } of getFigures().storeReads) {
+                for (const { records, outcome, count } of getStatistics().storeReads) {
                     this.set({ records, outcome }, count);
                 }
             },
@@ -145,8 +145,8 @@
         addGauge(
             "lynxarch_held_requests",
             "Requests that are held because targets crashed while executing them.",
-            figures => {
-                return figures.heldRequests;
+            statistics => {
+                return statistics.heldRequests;
             },
         );
         new Gauge({
@@ -155,7 +155,7 @@
             labelNames: ["outcome"],
             registers,
             collect(): void {
-                const { handedOver, received, unreached } = getFigures().sharedConnections;
+                const { handedOver, received, unreached } = getStatistics().sharedConnections;
                 this.set({ outcome: "handed-over" }, handedOver);
                 this.set({ outcome: "received" }, received);
                 this.set({ outcome: "unreached" }, unreached);
@@ -164,30 +164,30 @@
         addGauge(
             "lynxarch_peers",
             "Other routers from which a message was received recently.",
-            figures => figures.peers,
+            statistics => statistics.peers,
         );
-        addGauge("lynxarch_peer_message_bytes", "Size of the newest message to other routers.", figures => {
-            return figures.peerRound.messageBytes;
+        addGauge("lynxarch_peer_message_bytes", "Size of the newest message to other routers.", statistics => {
+            return statistics.peerRound.messageBytes;
         });
-        addGauge("lynxarch_peer_round_seconds", "Period of messages to other routers.", figures => {
-            return figures.peerRound.periodMs / msPerSecond;
+        addGauge("lynxarch_peer_round_seconds", "Period of messages to other routers.", statistics => {
+            return statistics.peerRound.periodMs / msPerSecond;
         });
         addGauge(
             "lynxarch_shed_share",
             "Fraction of new requests that the router refuses without reading them, 0 to 1.",
-            figures => {
-                return figures.load.shedShare;
+            statistics => {
+                return statistics.load.shedShare;
             },
         );
         addGauge(
             "lynxarch_loop_utilization",
             "Fraction of time in which the event loop is busy, smoothed.",
-            figures => {
-                return figures.load.loop.utilization;
+            statistics => {
+                return statistics.load.loop.utilization;
             },
         );
-        addGauge("lynxarch_loop_delay_seconds", "Delay of event loop timers, smoothed.", figures => {
-            return figures.load.loop.delayMs / msPerSecond;
+        addGauge("lynxarch_loop_delay_seconds", "Delay of event loop timers, smoothed.", statistics => {
+            return statistics.load.loop.delayMs / msPerSecond;
         });
         new Gauge({
             name: "lynxarch_targets",
@@ -196,12 +196,12 @@
             registers,
             collect(): void {
                 this.reset();
-                for (const { service, state, count } of getFigures().targets) {
+                for (const { service, state, count } of getStatistics().targets) {
                     this.set({ service, state }, count);
                 }
             },
         });
-        new RolloutMetrics(this.registry, () => this.getFigures().rollouts);
+        new RolloutMetrics(this.registry, () => this.getStatistics().rollouts);
     }
 
     /** Content type of the rendered metrics. */
@@ -212,12 +212,12 @@
     /** Counts a request that ended. */
     public recordEnd({ tookMs, end }: EndedRequest): void {
         const service = end.service ?? "none";
-        const isOwnReason = end.outcome === "refused";
-        this.requests.inc({ service, outcome: end.outcome, reason: isOwnReason ? end.reason : "" });
+        const isRefused = end.outcome === "refused";
+        this.requests.inc({ service, outcome: end.outcome, reason: isRefused ? end.reason : "" });
         this.attempts.inc({ service }, end.attempts ?? 0);
         this.duration.observe({ service, outcome: end.outcome }, tookMs / msPerSecond);
-        this.owners.inc({ outcome: "answered" }, (end.ownersAsked ?? 0) - (end.ownersSilent ?? 0));
-        this.owners.inc({ outcome: "silent" }, end.ownersSilent ?? 0);
+        this.ownerReplies.inc({ outcome: "answered" }, (end.ownersAsked ?? 0) - (end.ownersSilent ?? 0));
+        this.ownerReplies.inc({ outcome: "silent" }, end.ownersSilent ?? 0);
         this.recordShare(end);
         if (end.firstOutputMs !== undefined) {
             this.firstOutput.observe({ service }, end.firstOutputMs / msPerSecond);
@@ -237,13 +237,13 @@
 
     /** All metrics in the Prometheus text format. */
     public render(): Promise<string> {
-        this.accounts.update(this.getFigures().listAccounts());
+        this.accounts.update(this.getStatistics().listAccounts());
         return this.registry.metrics();
     }
 
     private recordShare({ askedTokens = 0, shareUse }: EndedRequest["end"]): void {
         if (askedTokens > 0 && shareUse !== undefined) {
-            this.sumsAge.observe(shareUse.sumsAgeMs / msPerSecond);
+            this.totalsAge.observe(shareUse.sumsAgeMs / msPerSecond);
         }
     }
 }
--- a/src/gateway/gatewayState.ts
+++ b/src/gateway/gatewayState.ts
@@ -70,8 +70,8 @@
 }
 
 /** Counts of each account's requests on this router, and the account's usage of its share. */
-export function listAccounts(context: GatewayContext, figures: AccountFigures): readonly AccountReading[] {
-    return figures.listAll().map(([account, counts]) => ({
+export function listAccounts(context: GatewayContext, statistics: AccountFigures): readonly AccountReading[] {
+    return statistics.listAll().map(([account, counts]) => ({
         account,
         counts,
         computeUse: () => (account === otherAccounts ? undefined : computeShareUse(context, account)),
--- a/src/gateway/removedRecords.ts
+++ b/src/gateway/removedRecords.ts
@@ -30,9 +30,9 @@
 
     /** Handles the removal of a target's record; returns false if the target must be removed at once. */
     public handleRemoval(target: Target): boolean {
-        const { clock, lapses } = this.options;
+        const { clock, lapses: expiryPolicy } = this.options;
         const nowMs = clock.nowMs();
-        const verdict = lapses.checkRemoval(nowMs);
+        const verdict = expiryPolicy.checkRemoval(nowMs);
         const { keptUntilMs } = verdict;
         this.clear(target);
         this.writeVerdict(target, verdict, nowMs);
--- a/src/gateway/targetDirectory.ts
+++ b/src/gateway/targetDirectory.ts
@@ -328,7 +328,7 @@
     }
 }
 
-/** Whether the target is kept no longer without a record; checked at each send, as timers are late while the event loop is busy. */
+/** Whether a target without a record has reached its removal time; checked at each send, as timers are late on a busy event loop. */
 function isRemoved({ removal }: Target, nowMs: number): boolean {
     return removal !== undefined && nowMs >= removal.keptUntilMs;
 }
--- a/test/gateway/accountStages.test.ts
+++ b/test/gateway/accountStages.test.ts
@@ -10,7 +10,7 @@
 
 afterEach(() => fixture.current.dispose());
 
-/** Stages of the account's requests and their tokens, from the metrics page. */
+/** Fetches the stages of the account's requests, with their tokens, from the metrics page. */
 async function fetchStages(port: number): Promise<readonly string[]> {
     const text = await (await fetch(`http://127.0.0.1:${port}/metrics`)).text();
     return [...text.matchAll(/^lynxarch_account_tokens_total\{account="north",stage="(.*)"\} (.*)$/gmu)].map(
@@ -18,16 +18,16 @@
     );
 }
 
-describe("what became of an account's requests", () => {
-    // The account complains; its requests were granted and answered, and one had nowhere to go.
-    it("is told stage by stage on the metrics page", async () => {
+describe("the stages of an account's requests", () => {
+    // The metrics must show where an account's requests ended: one was granted and completed, others found no target.
+    it("are listed on the metrics page", async () => {
         const port = await findFreePort();
         await fixture.current.addRouter({ metricsPort: port });
         await fixture.current.send({ path: "/plan/x", headers: createPromptHeaders("a1") });
         await fixture.current.addTarget("engines", "engine-1");
         await waitUntil(async () => {
-            const answer = await fixture.current.send({ path: "/once/x", headers: createPromptHeaders("a2") });
-            return answer.status === 200;
+            const response = await fixture.current.send({ path: "/once/x", headers: createPromptHeaders("a2") });
+            return response.status === 200;
         });
         const stages = await fetchStages(port);
         expect(stages.filter(line => !/^(read|refused-no-target) /u.test(line))).toMatchInlineSnapshot(`
@@ -40,7 +40,7 @@
             "in-time 1100",
           ]
         `);
-        // How often the second request was refused before the target was known depends on the store's reading.
+        // How often the second request is refused before the router has read the target's record depends on timing.
         const counts = new Map(stages.map(line => line.split(" ") as [string, string]));
         expect(Number(counts.get("read")) - Number(counts.get("refused-no-target"))).toBe(1_100);
     });
--- a/test/gateway/accountSummary.test.ts
+++ b/test/gateway/accountSummary.test.ts
@@ -12,13 +12,13 @@
 });
 
 describe("the summary of accounts with refused requests", () => {
-    // Lines of single requests are limited to a rate, and an account with few callers may have none among them.
-    it("names the most refused of the last second, and is left out where nothing was refused", () => {
+    // Log lines of single requests are rate limited, so an account with few callers may not appear in any of them.
+    it("names the most refused accounts of the last second, and is skipped when nothing was refused", () => {
         const lines: (LogFields | undefined)[] = [];
-        const figures = new AccountFigures();
+        const statistics = new AccountFigures();
         const logger: Logger = { write: (...[, , fields]) => void lines.push(fields) };
         const summary = new AccountSummary(logger, () =>
-            figures.listAll().map(([account, counts]) => ({
+            statistics.listAll().map(([account, counts]) => ({
                 account,
                 counts,
                 computeUse: () => ({ share: 0.256, surplus: 1.5, sumsAgeMs: 0 }),
@@ -26,12 +26,12 @@
         );
         for (let index = 0; index < 7; index++) {
             for (let refused = 0; refused <= index; refused++) {
-                const request = figures.createRequest(`a${index}`, 100);
+                const request = statistics.createRequest(`a${index}`, 100);
                 request.record("read");
                 request.recordEnd({ outcome: "refused", reason: refused === 0 ? "busy" : "over-share" });
             }
         }
-        const served = figures.createRequest("a6", 100);
+        const served = statistics.createRequest("a6", 100);
         served.record("read");
         served.record("granted");
         served.record("begun");
--- a/test/gateway/endlessSources.test.ts
+++ b/test/gateway/endlessSources.test.ts
@@ -7,20 +7,18 @@
 import { StoreClient } from "../../platform/storeClient.js";
 
 const filler = Buffer.alloc(16_384, "x");
-/** The bound on a store's page, with what the kernel holds between two ends of a connection on loopback. */
-const mostTakenBytes = 20_000_000;
-/** The same for what a peer hands over. */
-const mostTakenOfPeer = 30_000_000;
+/** Limit on the size of a store's page, plus the data in kernel buffers of a loopback connection. */
+const maxReceivedBytes = 20_000_000;
+/** The same for a peer's snapshot. */
+const maxReceivedBytesOfPeer = 30_000_000;
 const server: { current: Server } = { current: createServer() };
-let takenBytes: number[] = [];
+let sentBytes: number[] = [];
 
 beforeEach(async () => {
-    takenBytes = [];
+    sentBytes = [];
     server.current = createServer((request, response) => {
-        request.socket.once("close", () =>
-            takenBytes.push(request.socket.bytesWritten - request.socket.writableLength),
-        );
-        writeOn(response);
+        request.socket.once("close", () => sentBytes.push(request.socket.bytesWritten - request.socket.writableLength));
+        writeEndlessly(response);
     });
     await new Promise<void>(resolve => server.current.listen(0, "127.0.0.1", () => resolve()));
 });
@@ -30,13 +28,13 @@
     server.current.closeAllConnections();
 });
 
-function writeOn(response: ServerResponse): void {
+function writeEndlessly(response: ServerResponse): void {
     if (!response.destroyed) {
-        const goOn = (): void => void setImmediate(() => writeOn(response));
+        const writeNext = (): void => void setImmediate(() => writeEndlessly(response));
         if (response.write(filler)) {
-            goOn();
+            writeNext();
         } else {
-            response.once("drain", goOn);
+            response.once("drain", writeNext);
         }
     }
 }
@@ -47,34 +45,34 @@
 }
 
 async function waitForClose(): Promise<void> {
-    while (takenBytes.length === 0) {
+    while (sentBytes.length === 0) {
         await new Promise(resolve => setTimeout(resolve, 5));
     }
 }
 
-// Held as a whole, an answer without end would fill a router's memory within seconds.
-it("a store's page without end is a failed call", async () => {
+// If a response without end were buffered completely, it would exhaust a router's memory within seconds.
+it("an endless page of the store is a failed call", async () => {
     const client = new StoreClient(getAddress());
     const page = await client.readNewest("keyed.op", new CancellationTokenSource().token);
     await waitForClose();
     client.dispose();
     expect(page.isErr()).toBe(true);
-    expect(Math.max(...takenBytes)).toBeLessThan(mostTakenBytes);
+    expect(Math.max(...sentBytes)).toBeLessThan(maxReceivedBytes);
 });
 
-it("an engine's list without end is a failed call", async () => {
+it("an endless list of an engine is a failed call", async () => {
     const engines = new EngineLists(new SystemClock());
     const list = await engines.listHeldParts(getAddress(), new CancellationTokenSource().token);
     await waitForClose();
     engines.dispose();
     expect(list.isErr()).toBe(true);
-    expect(Math.max(...takenBytes)).toBeLessThan(mostTakenBytes);
+    expect(Math.max(...sentBytes)).toBeLessThan(maxReceivedBytes);
 });
 
-// A router that starts while the store is away asks its peers for the records.
-it("a peer's records without end are a failed call", async () => {
+// A router that starts while the store is unavailable fetches the records from its peers.
+it("an endless snapshot of a peer is a failed call", async () => {
     const snapshot = await fetchSnapshot(getAddress());
     await waitForClose();
     expect(snapshot.isErr()).toBe(true);
-    expect(Math.max(...takenBytes)).toBeLessThan(mostTakenOfPeer);
+    expect(Math.max(...sentBytes)).toBeLessThan(maxReceivedBytesOfPeer);
 });
--- a/test/gateway/fleet.test.ts
+++ b/test/gateway/fleet.test.ts
@@ -19,14 +19,14 @@
 
 afterEach(() => fixture.current.dispose());
 
-/** Status of a request that may be repeated, so that asking for it changes nothing. */
+/** Status of an idempotent request, which has no side effects. */
 async function fetchStatus(path = "/find/x", headers: Record<string, string> = {}, router = 0): Promise<number> {
     const all = { "x-lynxarch-attempt-id": "a1", ...headers };
     return (await fixture.current.send({ path, method: "GET", headers: all }, router)).status;
 }
 
 describe("the configuration", () => {
-    it("is in force with the next request after its record, and a key that it takes away names nobody", async () => {
+    it("is in force with the next request after its record, and a removed key is not accepted", async () => {
         await fixture.current.addTarget("engines", "engine-1");
         await fixture.current.addTarget("app", "app-1");
         await fixture.current.addRouter();
@@ -42,9 +42,8 @@
         expect(await fetchStatus("/nowhere/")).toBe(404);
     });
 
-    // An older record is read after a newer one: a reader that takes what comes last would bring back a route that the
-    // operators have taken away.
-    it("never goes back, whatever is read later", async () => {
+    // An older record may be read after a newer one: applying the last record read would restore a route that the operators have removed.
+    it("never reverts to an older version, whatever is read later", async () => {
         await fixture.current.addTarget("app", "app-1");
         await fixture.current.addRouter();
         const kept = createConfiguration(7).routes as { readonly name: string }[];
@@ -58,7 +57,7 @@
     });
 
     it.each(["no JSON", { version: "seven" }, { version: 9, routes: [{ host }] }])(
-        "that can't be read is left aside (%j)",
+        "is ignored if it is invalid (%j)",
         async record => {
             await fixture.current.addTarget("app", "app-1");
             await fixture.current.addRouter();
@@ -68,9 +67,9 @@
         },
     );
 
-    // The store drops its history while changes are made; a reader that asks for what it missed is told that it is gone,
-    // and must read all keys anew, those that were dropped meanwhile included.
-    it("is read anew where the store has dropped its history", async () => {
+    // The store drops its history while changes are made. A reader that requests the missed changes receives an error and must read all
+    // keys again, including those that were removed in the meantime.
+    it("is read again when the store has dropped its history", async () => {
         await fixture.current.addTarget("app", "app-1");
         await fixture.current.addRouter();
         const { store } = fixture.current;
@@ -91,8 +90,8 @@
 });
 
 describe("targets", () => {
-    // A target drains. Requests that are sent to it after the bound would be cut off when it goes.
-    it("that leave get nothing more", async () => {
+    // Requests sent to a draining target after the time limit would be aborted when the target ends.
+    it("that are leaving receive no more requests", async () => {
         const leaving = await fixture.current.addTarget("app", "app-1");
         const staying = await fixture.current.addTarget("app", "app-2");
         await fixture.current.addRouter();
@@ -105,7 +104,7 @@
         expect([leaving.received.length, staying.received.length >= 6]).toEqual([0, true]);
     });
 
-    it("in a data centre that is out get nothing, and what comes back is taken for cold", async () => {
+    it("in a data centre that is out of service receive nothing, and count as cold when it returns", async () => {
         const target = await fixture.current.addTarget("app", "app-1");
         await fixture.current.addRouter();
         fixture.current.store.write("keyed.op", "evacuate/dc-a", {});
@@ -117,9 +116,9 @@
         await waitUntil(async () => (await fetchStatus()) === 200);
     });
 
-    // The address of a target that is gone belongs to another one by now. That one says so and runs nothing; the request
-    // goes to a target of its own service.
-    it("whose address belongs to another one are given up, and the request goes elsewhere", async () => {
+    // The address of a target that has ended was reassigned to another target. The new owner rejects the request without executing it,
+    // and the request is sent to a target of its own service.
+    it("whose address belongs to another target are removed, and the request is sent elsewhere", async () => {
         const moved = await fixture.current.addTarget("app", "app-1");
         const other = await fixture.current.addTarget("app", "app-2");
         await fixture.current.addRouter();
@@ -133,7 +132,7 @@
     });
 
     it.each(["\u0000", { service: 7 }, { service: "app", address: "nowhere" }])(
-        "with entries that can't be read are no targets, and the others hold (%j)",
+        "with invalid entries are ignored, and the other targets remain (%j)",
         async entry => {
             const target = await fixture.current.addTarget("app", "app-1");
             await fixture.current.addRouter();
@@ -144,13 +143,13 @@
         },
     );
 
-    // Entries lapse while the store is away although their targets live. Dropped at once, the service would have no target
-    // until they are back.
-    it("whose entries lapse while the store is away are kept until they are back", async () => {
+    // Entries expire while the store is unavailable although their targets are running. If targets were removed at once, the service
+    // would have no target until their entries are written again.
+    it("whose entries expire while the store is unavailable are kept until the entries are written again", async () => {
         await fixture.current.addTarget("app", "app-1");
         await fixture.current.addRouter();
         fixture.current.store.condition = "busy";
-        // A long poll that was under way goes on; only a call that was refused tells the router that the store is away.
+        // A pending long poll continues; only a refused call shows the router that the store is unavailable.
         await waitUntil(() => fixture.current.store.refused >= 2);
         fixture.current.store.write("keyed.servers", "app-1", undefined);
         fixture.current.store.condition = "up";
@@ -160,9 +159,9 @@
 });
 
 describe("a router that starts", () => {
-    // Engines keep long shared parts from before the router was restarted. A router that does not know where sends each prompt
-    // to the part's home by hashing, which may be any engine, and the part is read there once more.
-    it("learns what engines keep, and sends prompts there", async () => {
+    // Engines have long shared parts cached from before the router was restarted. A router that does not fetch the lists of cached parts
+    // sends each prompt to the target preferred by the part's hash, which may be any engine, and the part is prefilled there again.
+    it("fetches the engines' cached parts and sends prompts there", async () => {
         const engines: TargetServer[] = [];
         for (let index = 0; index < 4; index++) {
             engines.push(await fixture.current.addTarget("engines", `engine-${index}`));
@@ -186,7 +185,7 @@
         ]);
     });
 
-    it("while the store is away takes the records from a peer", async () => {
+    it("fetches the records from a peer while the store is unavailable", async () => {
         await fixture.current.addTarget("app", "app-1");
         await fixture.current.addRouter();
         fixture.current.store.condition = "silent";
@@ -194,19 +193,19 @@
         expect(await fetchStatus("/find/x", {}, 1)).toBe(200);
     });
 
-    // It knows no route yet. A 404 would make callers give up for good; it says that nothing ran, and to come back.
-    it("without any configuration tells callers to come back", async () => {
+    // The router has no routes yet. A 404 would make callers give up permanently; a 503 with Retry-After makes them retry.
+    it("without any configuration tells callers to retry", async () => {
         fixture.current.store.condition = "busy";
         const daemon = await fixture.current.addRouter({}, false);
-        const answer = await fixture.current.send({ path: "/find/x", method: "GET" });
-        expect([answer.status, answer.headers["retry-after"], daemon.isReady]).toEqual([503, "0.50", false]);
+        const response = await fixture.current.send({ path: "/find/x", method: "GET" });
+        expect([response.status, response.headers["retry-after"], daemon.isReady]).toEqual([503, "0.50", false]);
     });
 });
 
-describe("a router under pressure", () => {
-    // A caller sends bodies in chunks, which announce no length. The memory for bodies is bounded all the same; what finds no
-    // room is told to come back, and nothing of it reaches a target.
-    it("takes bodies in chunks only as far as there is room", async () => {
+describe("a router under load", () => {
+    // Chunked bodies announce no length, but the memory for bodies is limited. A request that exceeds the remaining memory is refused with
+    // Retry-After, and no part of it reaches a target.
+    it("accepts chunked bodies only within the memory limit", async () => {
         const target = await fixture.current.addTarget("app", "app-1");
         await fixture.current.addRouter({ limits: { memoryMb: 0.1, maxDescriptors: 1_000 } });
         const headers = { "x-lynxarch-attempt-id": "a1" };
@@ -217,16 +216,16 @@
         expect(target.received.map(request => request.body.length)).toEqual([1_000]);
     });
 
-    it("refuses a request that does not name itself, for good", async () => {
+    it("refuses a request without an attempt id, permanently", async () => {
         const target = await fixture.current.addTarget("app", "app-1");
         await fixture.current.addRouter();
-        const answer = await fixture.current.send({ path: "/find/x", method: "GET" });
-        expect([answer.status, target.received.length]).toEqual([400, 0]);
+        const response = await fixture.current.send({ path: "/find/x", method: "GET" });
+        expect([response.status, target.received.length]).toEqual([400, 0]);
     });
 
-    // An engine turns requests away as full; none of them ran. Counted as served all the same, the account would soon seem to
-    // have had its fair share, and be refused in favour of others while it got nothing.
-    it("counts nothing as served that no target ran", async () => {
+    // An engine rejects requests as full, so none of them is executed. If they were counted as served, the account would soon appear to
+    // have used its fair share, and would be refused in favour of others although it received nothing.
+    it("does not count a request as served that no target executed", async () => {
         const engine = await fixture.current.addTarget("engines", "engine-1");
         const metricsPort = await findFreePort();
         await fixture.current.addRouter({ metricsPort });
@@ -242,13 +241,13 @@
         expect(state.accounts.north).toEqual({ asked: 3_300, served: 0, recentlyServed: 0 });
     });
 
-    // One account floods a router: refused, its callers come back on new connections and leave the old ones idle. At the limit
-    // of connections the next caller, of any account, would be reset unread; so answers end connections well before.
-    it("ends connections with their answers before their places are used up", async () => {
+    // One account overloads a router: its refused callers retry on new connections and leave the old ones idle. At the connection limit,
+    // the next caller of any account would be reset unread, so responses close connections well below the limit.
+    it("closes connections with their responses before the connection limit is reached", async () => {
         await fixture.current.addTarget("app", "app-1");
         await fixture.current.addRouter({ limits: { memoryMb: 350, maxDescriptors: 40 } });
         const agent = new Agent({ keepAlive: true });
-        const answers = await Promise.all(
+        const responses = await Promise.all(
             Array.from({ length: 18 }, (...[, index]) =>
                 fixture.current.send({
                     path: "/find/x",
@@ -265,15 +264,15 @@
             agent,
         });
         agent.destroy();
-        const ended = answers.filter(answer => answer.headers.connection === "close").length;
+        const ended = responses.filter(response => response.headers.connection === "close").length;
         expect([ended > 0, later.status]).toEqual([true, 200]);
     });
 });
 
 describe("engines that copy from one another", () => {
-    // The engine that keeps a prompt's shared part has no slot left. The other one is told to copy the part from it, which is
-    // faster than reading it anew; the caller's own word on where to copy from is not passed on.
-    it("are told where the shared part is kept", async () => {
+    // The engine that has a prompt's shared part cached has no free slot. The other engine is instructed to copy the part from it, which is
+    // faster than prefilling it again. A copy source set by the caller is not forwarded.
+    it("receive the address of the engine that has the shared part cached", async () => {
         const model = { name: "engines", max_conns: 100, cold_start_s: 3, cold_per_s: 6 };
         const engine = { slots: 8, kv_capacity: 100_000, kv_bytes: 20_000, link_mbps: 400_000 };
         const changes = {
@@ -303,9 +302,9 @@
 });
 
 describe("a router that stops", () => {
-    // Callers keep their connections while the router is told to stop. Requests that are there are answered, and each
-    // answer tells its caller to connect anew; later ones are told to go elsewhere, and none is cut off.
-    it("answers what it has read and takes nothing new", async () => {
+    // Callers keep their connections open while the router stops. Requests in progress are completed, each response closes its connection,
+    // later requests are refused, and none is aborted.
+    it("completes open requests and accepts no new ones", async () => {
         const target = await fixture.current.addTarget("engines", "engine-1");
         const daemon = await fixture.current.addRouter();
         target.eventPauseMs = 300;
--- a/test/gateway/gatewayMetrics.test.ts
+++ b/test/gateway/gatewayMetrics.test.ts
@@ -2,9 +2,9 @@
 import { AccountFigures } from "../../src/gateway/accountFigures.js";
 import { GatewayMetrics } from "../../src/gateway/gatewayMetrics.js";
 
-const use = { share: 0.5, surplus: 1.25, sumsAgeMs: 0 };
+const usage = { share: 0.5, surplus: 1.25, sumsAgeMs: 0 };
 
-function createMetrics(figures: AccountFigures): GatewayMetrics {
+function createMetrics(statistics: AccountFigures): GatewayMetrics {
     return new GatewayMetrics(() => ({
         openRequests: 0,
         configurationVersion: 1,
@@ -19,20 +19,20 @@
         targets: [],
         load: { shedShare: 0.1, loop: { delayMs: 30, utilization: 0.9 } },
         listAccounts: () =>
-            figures.listAll().map(([account, counts]) => ({
+            statistics.listAll().map(([account, counts]) => ({
                 account,
                 counts,
-                computeUse: () => (account === "other" ? undefined : use),
+                computeUse: () => (account === "other" ? undefined : usage),
             })),
     }));
 }
 
-function recordRequest(figures: AccountFigures, account: string, askedTokens: number, isServed: boolean): void {
-    const request = figures.createRequest(account, askedTokens);
+function recordRequest(statistics: AccountFigures, account: string, askedTokens: number, isServed: boolean): void {
+    const request = statistics.createRequest(account, askedTokens);
     request.record("read");
     if (isServed) {
         request.record("begun");
-        // A stream that goes on at another target begins there once more.
+        // A stream that continues at another target begins a second time there.
         request.record("begun");
     }
     request.recordEnd(
@@ -42,21 +42,21 @@
     );
 }
 
-async function listLines(figures: AccountFigures, name: string): Promise<readonly string[]> {
-    const metrics = createMetrics(figures);
+async function listLines(statistics: AccountFigures, name: string): Promise<readonly string[]> {
+    const metrics = createMetrics(statistics);
     await metrics.render();
     const text = await metrics.render();
     return text.split("\n").filter(line => line.startsWith(name) && !line.includes("_sums_age_"));
 }
 
 describe("tokens by account", () => {
-    // A client account complains that it got far less than another one. Refusals by reason don't tell who asked for how much.
-    it("tell what each asked for and got", async () => {
-        const figures = new AccountFigures();
-        recordRequest(figures, "first", 900, true);
-        recordRequest(figures, "first", 600, false);
-        recordRequest(figures, "second", 100, false);
-        expect(await listLines(figures, "lynxarch_account_")).toMatchInlineSnapshot(`
+    // To find out why one account is served less than another, refusals by reason are not enough: requested and served tokens are needed.
+    it("show what each requested and was served", async () => {
+        const statistics = new AccountFigures();
+        recordRequest(statistics, "first", 900, true);
+        recordRequest(statistics, "first", 600, false);
+        recordRequest(statistics, "second", 100, false);
+        expect(await listLines(statistics, "lynxarch_account_")).toMatchInlineSnapshot(`
           [
             "lynxarch_account_share{account="first"} 0.5",
             "lynxarch_account_share{account="second"} 0.5",
@@ -80,21 +80,21 @@
         `);
     });
 
-    it("are counted together beyond a number of accounts", async () => {
-        const figures = new AccountFigures();
+    it("are counted together beyond the limit of named accounts", async () => {
+        const statistics = new AccountFigures();
         for (let index = 0; index < 150; index++) {
-            recordRequest(figures, `a${index}`, 10, false);
+            recordRequest(statistics, `a${index}`, 10, false);
         }
-        const lines = await listLines(figures, "lynxarch_account_tokens_total");
+        const lines = await listLines(statistics, "lynxarch_account_tokens_total");
         expect(lines.length).toBe(303);
         expect(lines).toContain('lynxarch_account_tokens_total{account="other",stage="read"} 500');
-        expect((await listLines(figures, "lynxarch_account_share")).length).toBe(100);
+        expect((await listLines(statistics, "lynxarch_account_share")).length).toBe(100);
     });
 
-    it("stand beside how the router keeps up", async () => {
-        const figures = new AccountFigures();
+    it("are exported along with the router's load", async () => {
+        const statistics = new AccountFigures();
         const names = ["lynxarch_shed_share", "lynxarch_loop_utilization", "lynxarch_loop_delay_seconds"];
-        expect((await Promise.all(names.map(name => listLines(figures, name)))).flat()).toMatchInlineSnapshot(`
+        expect((await Promise.all(names.map(name => listLines(statistics, name)))).flat()).toMatchInlineSnapshot(`
           [
             "lynxarch_shed_share 0.1",
             "lynxarch_loop_utilization 0.9",
@@ -105,8 +105,8 @@
 });
 
 describe("the view of the platform's records", () => {
-    // A target that has left goes on getting requests, and nothing tells whether its record was read late or kept.
-    it("tells its age and how reads ended", async () => {
+    // If a target that has left still receives requests, the metrics must show whether its record was read late or was kept.
+    it("shows its age and the outcomes of reads", async () => {
         const lines = [
             ...(await listLines(new AccountFigures(), "lynxarch_targets_view")),
             ...(await listLines(new AccountFigures(), "lynxarch_store_reads")),
@@ -121,7 +121,7 @@
 });
 
 describe("the end of a request", () => {
-    it("is one stage", () => {
+    it("is counted as exactly one stage", () => {
         const ends = [
             { outcome: "refused", reason: "busy" },
             { outcome: "refused", reason: "late" },
@@ -130,14 +130,14 @@
             { outcome: "timeout", reason: "" },
             { outcome: "answered", reason: "", timeliness: "in-time" },
         ] as const;
-        const figures = new AccountFigures();
+        const statistics = new AccountFigures();
         for (const [index, end] of ends.entries()) {
-            const request = figures.createRequest(`a${index}`, 1);
+            const request = statistics.createRequest(`a${index}`, 1);
             request.record("read");
             request.recordEnd(end);
         }
-        figures.createRequest("a6", 1).recordEnd({ outcome: "left", reason: "" });
-        const stages = figures.listAll().map(([, counts]) => counts.listReached().join(" "));
+        statistics.createRequest("a6", 1).recordEnd({ outcome: "left", reason: "" });
+        const stages = statistics.listAll().map(([, counts]) => counts.listReached().join(" "));
         expect(stages).toMatchInlineSnapshot(`
           [
             "read shed",
--- a/test/gateway/leavingTargets.test.ts
+++ b/test/gateway/leavingTargets.test.ts
@@ -3,7 +3,7 @@
 import { createPromptHeaders, GatewayFixture, waitUntil } from "./gatewayFixture.js";
 
 const fixture = { current: new GatewayFixture() };
-/** Beyond the time after which a leaving target may get nothing more; milliseconds. */
+/** Longer than the time after which a leaving target may receive no more requests; milliseconds. */
 const drainMs = 500;
 const requestCount = 8;
 
@@ -40,7 +40,7 @@
     return (JSON.parse(body) as { readonly code: string }).code;
 }
 
-/** A router, and two engines the first of which leaves once the store is silent. */
+/** Starts a router and two engines; the first engine reports that it is leaving once the store is unresponsive. */
 async function startLeaving(): Promise<readonly [leaving: TargetServer, staying: TargetServer]> {
     const leaving = await fixture.current.addTarget("engines", "engine-1");
     const staying = await fixture.current.addTarget("engines", "engine-2");
@@ -51,9 +51,10 @@
     return [leaving, staying];
 }
 
-describe("a target that only its answers tell is leaving", () => {
-    // With the store away its record stays as it was; a router that goes by the record alone sends on to a target that ends.
-    it("gets nothing more while the store is away", async () => {
+describe("a target that reports only in its responses that it is leaving", () => {
+    // While the store is unavailable, the target's record doesn't change. A router that uses only the record keeps sending requests to a
+    // target that is about to end.
+    it("receives no more requests while the store is unavailable", async () => {
         const [leaving] = await startLeaving();
         await sendPrompts("before");
         expect(leaving.received.length).toBeGreaterThan(0);
@@ -63,29 +64,30 @@
         expect(leaving.received.length).toBe(0);
     });
 
-    // A stream may last longer than the target has left; noticed at its end, the signal comes too late.
-    it("is noticed when the head of a stream arrives", async () => {
+    // A stream may last longer than the target's remaining time, so a signal evaluated at the end of the stream would be too late.
+    it("is detected when the head of a stream arrives", async () => {
         const [leaving, staying] = await startLeaving();
         leaving.eventPauseMs = 300;
         staying.eventPauseMs = 300;
-        const answers = sendTogether("streams", requestCount);
+        const responses = sendTogether("streams", requestCount);
         await waitUntil(() => leaving.received.length > 0);
         await sleep(drainMs);
         leaving.received.length = 0;
         await sendTogether("after", 2);
         expect(leaving.received.length).toBe(0);
-        await answers;
+        await responses;
     });
 
-    it.each(["shed", "error"] as const)("is noticed by an answer of the kind %s", async script => {
+    it.each(["shed", "error"] as const)("is detected by a response of the kind %s", async script => {
         const [leaving] = await startLeaving();
         leaving.usual = script;
         await sendPrompts(script);
         expect(leaving.received.length).toBe(1);
     });
 
-    // Its record lapses while the store is away and returns as it was: taken for news, it would get requests again.
-    it("gets nothing when its record lapses and returns as ready", async () => {
+    // The target's record expires while the store is unavailable and is written again unchanged. Treated as an update, it would make the
+    // target receive requests again.
+    it("receives nothing when its record expires and returns as ready", async () => {
         const [leaving] = await startLeaving();
         await sendPrompts("before");
         fixture.current.store.write("keyed.servers", leaving.instanceId, undefined);
@@ -98,8 +100,8 @@
         expect(leaving.received.length).toBe(0);
     });
 
-    // The answer of the start before arrives late; taken for the new start's, it would keep that one idle for good.
-    it("gets requests though an answer of its start before says so", async () => {
+    // A response of the previous incarnation arrives late. Attributed to the new incarnation, it would keep that one idle permanently.
+    it("receives requests after a restart even if a late response of the previous incarnation reports leaving", async () => {
         const target = await fixture.current.addTarget("app", "app-1");
         await fixture.current.addRouter();
         target.workMs = 2 * drainMs;
@@ -111,13 +113,13 @@
         await late;
         target.workMs = 0;
         await waitUntil(async () => {
-            const answer = await fixture.current.send({ path: "/find/x", headers: createPromptHeaders("again") });
-            return answer.status === 200;
+            const response = await fixture.current.send({ path: "/find/x", headers: createPromptHeaders("again") });
+            return response.status === 200;
         });
     });
 
-    // A mark that stays with the id would keep a target that has started anew idle for good.
-    it("gets requests again once it has started anew under its id", async () => {
+    // If the leaving state were bound to the id alone, a restarted target would stay idle permanently.
+    it("receives requests again after a restart under the same id", async () => {
         const [leaving] = await startLeaving();
         await sendPrompts("before");
         leaving.isLeaving = false;
@@ -127,8 +129,8 @@
         await waitUntil(async () => (await sendPrompts("after")) && leaving.received.length > 0);
     });
 
-    // The store comes back from a copy that holds the record of the start before; by that record the target would be another one.
-    it("gets nothing when the store comes back with the record of an earlier start", async () => {
+    // The store is restored from a copy that contains the record of the previous incarnation, which would look like a different target.
+    it("receives nothing when the store is restored with the record of an earlier start", async () => {
         const leaving = await fixture.current.addTarget("engines", "engine-1");
         await fixture.current.addTarget("engines", "engine-2");
         await fixture.current.addRouter();
@@ -143,8 +145,8 @@
         expect(leaving.received.length).toBe(0);
     });
 
-    // An answer at an address that was given away speaks of the target that has it now.
-    it("is not the one whose address answers for another target", async () => {
+    // A response from a reassigned address carries the signals of the target that now has the address.
+    it("is not confused with another target that now has its address", async () => {
         const [leaving, staying] = await startLeaving();
         leaving.instanceId = "another";
         await sendPrompts("moved");
@@ -152,8 +154,8 @@
         expect([leaving.ran.length, staying.ran.length]).toEqual([0, requestCount]);
     });
 
-    // A router that got no answer of it would send requests to a target that is about to end.
-    it("gets nothing from routers that learnt it from others, also from one that starts later", async () => {
+    // A router that received no response from the target itself would otherwise send requests to a target that is about to end.
+    it("receives nothing from routers that received the state from peers, including one that starts later", async () => {
         const [leaving] = await startLeaving();
         fixture.current.store.condition = "up";
         await fixture.current.addRouter();
@@ -170,19 +172,19 @@
         expect(leaving.received.length).toBe(0);
     });
 
-    // All targets of a service leave while their successors are unknown: what can't be served is refused at once.
-    it("leaves its service without targets, and requests are refused with a time to return", async () => {
+    // All targets of a service leave before their successors are registered: requests that can't be served are refused at once.
+    it("causes refusals with Retry-After if no other target of its service remains", async () => {
         const [leaving, staying] = await startLeaving();
         staying.isLeaving = true;
         await sendPrompts("before");
         leaving.received.length = 0;
         staying.received.length = 0;
         const headers = createPromptHeaders("refused");
-        const answer = await fixture.current.send({ path: "/plan/x", headers });
+        const response = await fixture.current.send({ path: "/plan/x", headers });
         expect({
-            status: answer.status,
-            retryAfter: answer.headers["retry-after"],
-            code: parseCode(answer.body),
+            status: response.status,
+            retryAfter: response.headers["retry-after"],
+            code: parseCode(response.body),
         }).toMatchInlineSnapshot(`
           {
             "code": "no-target",
--- a/test/gateway/pausingTargets.test.ts
+++ b/test/gateway/pausingTargets.test.ts
@@ -2,7 +2,7 @@
 import { createPromptHeaders, GatewayFixture, waitUntil, type CallerAnswer } from "./gatewayFixture.js";
 
 const fixture = { current: new GatewayFixture() };
-/** What the target asks for, in seconds and milliseconds. */
+/** Pause that the target requests, in seconds and milliseconds. */
 const pauseSeconds = "1.2";
 const pauseMs = 1_200;
 
@@ -17,9 +17,9 @@
     return fixture.current.send({ path: "/plan/x", headers: createPromptHeaders(id) });
 }
 
-describe("a target that turns a request away with Retry-After", () => {
-    // Sent on at once, a target that is full gets each new request and turns all of them away.
-    it("gets nothing until the time is over, and then requests again", async () => {
+describe("a target that rejects a request with Retry-After", () => {
+    // Without the pause, a full target would receive every new request and reject all of them.
+    it("receives nothing until the pause is over, and then receives requests again", async () => {
         const target = await fixture.current.addTarget("engines", "engine-1");
         await fixture.current.addRouter();
         target.retryAfter = pauseSeconds;
@@ -30,7 +30,7 @@
         expect(target.received[1].atMs - refusedAtMs).toBeGreaterThanOrEqual(pauseMs);
     });
 
-    it("is passed over for another one", async () => {
+    it("is skipped in favour of another target", async () => {
         const pausing = await fixture.current.addTarget("engines", "engine-1");
         const other = await fixture.current.addTarget("engines", "engine-2");
         await fixture.current.addRouter();
@@ -42,8 +42,8 @@
         expect([pausing.received.length <= 1, other.ran.length]).toEqual([true, 6]);
     });
 
-    // Callers that are told a shorter time come back for nothing.
-    it("leaves callers refused at once, with the time that is left", async () => {
+    // Callers that receive a shorter time retry in vain.
+    it("makes the router refuse callers at once with the remaining time", async () => {
         const target = await fixture.current.addTarget("engines", "engine-1");
         await fixture.current.addRouter();
         target.retryAfter = "20";
@@ -56,8 +56,8 @@
         expect(target.received.length).toBe(1);
     });
 
-    // Another target that can't be reached just now may be back long before the end of the pause.
-    it("does not make callers wait for it while another one may come back sooner", async () => {
+    // Another target that is currently unreachable may recover long before the end of the pause.
+    it("does not make callers wait for the pause while another target may recover sooner", async () => {
         const pausing = await fixture.current.addTarget("engines", "engine-1");
         const unreachable = await fixture.current.addTarget("engines", "engine-2");
         await fixture.current.addRouter();
@@ -72,8 +72,8 @@
         expect([status, headers["retry-after"]]).toEqual([503, "0.30"]);
     });
 
-    // A router that starts asks engines what they keep; also this answer binds it.
-    it("gets nothing where it said so to a router that has just started", async () => {
+    // A router queries the engines' cached parts when it starts; a pause requested in that response applies as well.
+    it("receives nothing if it requested the pause when a starting router queried it", async () => {
         const target = await fixture.current.addTarget("engines", "engine-1");
         target.retryAfter = "20";
         target.refusesLists = true;
@@ -84,20 +84,17 @@
         expect(target.received.length).toBe(0);
     });
 
-    it.each(["soon", "-5", "", "0"])(
-        "that can't be read or asks for nothing (%j) gets the next request",
-        async value => {
-            const target = await fixture.current.addTarget("engines", "engine-1");
-            await fixture.current.addRouter();
-            target.retryAfter = value;
-            target.scripts.push("shed");
-            await send("first");
-            expect((await send("second")).status).toBe(200);
-        },
-    );
+    it.each(["soon", "-5", "", "0"])("with an invalid or zero value (%j) receives the next request", async value => {
+        const target = await fixture.current.addTarget("engines", "engine-1");
+        await fixture.current.addRouter();
+        target.retryAfter = value;
+        target.scripts.push("shed");
+        await send("first");
+        expect((await send("second")).status).toBe(200);
+    });
 
-    // The wish was that of the process before.
-    it("gets requests at once when it has started anew", async () => {
+    // The pause was requested by the previous process.
+    it("receives requests at once after a restart", async () => {
         const target = await fixture.current.addTarget("engines", "engine-1");
         await fixture.current.addRouter();
         target.retryAfter = "600";
--- a/test/gateway/sharedConnections.test.ts
+++ b/test/gateway/sharedConnections.test.ts
@@ -17,7 +17,7 @@
 } from "./gatewayFixture.js";
 
 const fixture = { current: new GatewayFixture() };
-const noneShared: SharedConnections = { handedOver: 0, received: 0, unreached: 0 };
+const zeroShared: SharedConnections = { handedOver: 0, received: 0, unreached: 0 };
 let sharedBefore: readonly SharedConnections[] = [];
 const busyLoad: LoadSource = { ...idleLoad, loop: { delayMs: 0, utilization: 0.95 } };
 
@@ -32,27 +32,27 @@
 const agent = new Agent({ keepAlive: false });
 const settings = { handsOverConnections: true };
 
-/** Starts a saturated router and a neighbour, and waits until the one hands over to the other where the neighbour is idle. */
+/** Starts a saturated router and a neighbour and, if the neighbour is idle, waits until the first connection is handed over to it. */
 async function startRouters(neighbourLoad: LoadSource = idleLoad): Promise<void> {
     await fixture.current.addRouter(settings, true, busyLoad);
     await fixture.current.addRouter(settings, true, neighbourLoad);
     await waitUntil(() => fixture.current.routers.every(({ daemon }) => daemon.knownRouters === 2));
     await waitUntil(async () => {
-        await sendAnew({ path: "/nowhere/", headers: { "x-lynxarch-attempt-id": "a0" } });
+        await sendOnNewConnection({ path: "/nowhere/", headers: { "x-lynxarch-attempt-id": "a0" } });
         return neighbourLoad === busyLoad || readShared(0).handedOver > 0;
     });
     sharedBefore = fixture.current.routers.map(({ daemon }) => ({ ...daemon.sharedConnections }));
 }
 
-/** Sends a call on a connection of its own: one that is kept stays where it is. */
-function sendAnew(call: CallerCall): Promise<CallerAnswer> {
+/** Sends a request on a new connection, because only new connections are handed over. */
+function sendOnNewConnection(call: CallerCall): Promise<CallerAnswer> {
     return fixture.current.send({ ...call, agent });
 }
 
-/** What was shared since {@link startRouters}. */
+/** Counts of shared connections since {@link startRouters}. */
 function readShared(router: number): SharedConnections {
     const { handedOver, received, unreached } = fixture.current.routers[router].daemon.sharedConnections;
-    const before = sharedBefore[router] ?? noneShared;
+    const before = sharedBefore[router] ?? zeroShared;
     return {
         handedOver: handedOver - before.handedOver,
         received: received - before.received,
@@ -65,12 +65,12 @@
 }
 
 describe("a connection that reaches a saturated router", () => {
-    it("is served by its neighbour, whole and unchanged", async () => {
+    it("is served by its neighbour, complete and unchanged", async () => {
         const target = await addApp();
         await startRouters();
         const headers = { "x-lynxarch-attempt-id": "a1" };
-        const answer = await sendAnew({ path: "/book/", headers, body: "seat 4" });
-        expect({ status: answer.status, body: answer.body }).toEqual({ status: 200, body: "answer to a1" });
+        const response = await sendOnNewConnection({ path: "/book/", headers, body: "seat 4" });
+        expect({ status: response.status, body: response.body }).toEqual({ status: 200, body: "answer to a1" });
         expect(target.received.map(({ body }) => body)).toEqual(["seat 4"]);
         expect([readShared(0), readShared(1)]).toMatchObject([{ handedOver: 1 }, { received: 1 }]);
     });
@@ -78,28 +78,28 @@
     it("carries a stream event by event", async () => {
         await fixture.current.addTarget("engines", "engine-1");
         await startRouters();
-        const answer = await sendAnew({ path: "/once/", headers: createPromptHeaders("a1"), body: "b" });
-        expect({ events: answer.body.split("\n\n").length - 1, isBroken: answer.isBroken }).toEqual({
+        const response = await sendOnNewConnection({ path: "/once/", headers: createPromptHeaders("a1"), body: "b" });
+        expect({ events: response.body.split("\n\n").length - 1, isBroken: response.isBroken }).toEqual({
             events: 5,
             isBroken: false,
         });
         expect(readShared(1)).toMatchObject({ received: 1 });
     });
 
-    // A close that is not passed on leaves a target at work for nobody.
-    it("shows its caller's close to the neighbour and the target", async () => {
+    // If the caller's close were not forwarded, the target would continue to work on a response without a recipient.
+    it("forwards its caller's close to the neighbour and the target", async () => {
         const target = await addApp();
         target.usual = "hang";
         await startRouters();
         const headers = { "x-lynxarch-attempt-id": "a1" };
-        const call = sendAnew({ path: "/find/", headers, leaveAfterMs: 100 }).catch(() => undefined);
+        const call = sendOnNewConnection({ path: "/find/", headers, leaveAfterMs: 100 }).catch(() => undefined);
         await waitUntil(() => target.received.some(({ isAborted }) => isAborted));
         await call;
         expect(readShared(1)).toMatchObject({ received: 1 });
     });
 
-    // A caller that sent its request and gave up before it was read must not have it run.
-    it("whose caller left before it was read is not handed over", async () => {
+    // The request of a caller that closed the connection before the request was read must not be executed.
+    it("whose caller disconnected before the request was read is not handed over", async () => {
         const target = await addApp();
         await startRouters();
         const [address, port] = fixture.current.routers[0].settings.callers.split(":");
@@ -111,17 +111,17 @@
             socket.end(request);
         });
         const headers = { "x-lynxarch-attempt-id": "a1" };
-        await sendAnew({ path: "/book/", headers });
+        await sendOnNewConnection({ path: "/book/", headers });
         expect(target.received.map(({ id }) => id)).toEqual(["a1"]);
     });
 
-    // The neighbour ends in the middle: the caller sees a broken connection, and what may have run is not run again.
-    it("breaks when the neighbour ends, and its request runs once", async () => {
+    // The neighbour ends during the request: the caller's connection is closed, and a request that may have been executed is not repeated.
+    it("is closed when the neighbour ends, and its request is executed once", async () => {
         const target = await addApp();
         target.usual = "hang";
         await startRouters();
         const headers = { "x-lynxarch-attempt-id": "a1" };
-        const outcome = sendAnew({ path: "/book/", headers }).then(
+        const outcome = sendOnNewConnection({ path: "/book/", headers }).then(
             ({ isBroken }) => (isBroken ? "broken" : "answered"),
             () => "closed",
         );
@@ -131,21 +131,24 @@
         expect(target.received.length).toBe(1);
     });
 
-    it("is served where it is when the neighbour can't be reached", async () => {
+    it("is served by this router when the neighbour can't be reached", async () => {
         const target = await addApp();
         await startRouters();
         fixture.current.routers[1].daemon.dispose();
         const headers = { "x-lynxarch-attempt-id": "a1" };
-        const answer = await sendAnew({ path: "/book/", headers, body: "b" });
-        expect({ status: answer.status, received: target.received.length }).toEqual({ status: 200, received: 1 });
+        const response = await sendOnNewConnection({ path: "/book/", headers, body: "b" });
+        expect({ status: response.status, received: target.received.length }).toEqual({ status: 200, received: 1 });
     });
 
-    // A neighbour that has just started does not know who hands over yet: what it closes at once must not be lost.
+    // A neighbour that has just started can't identify the sender yet and closes the connection at once; the request must not be lost.
     it.each([
         ["closes it at once", (socket: Socket): unknown => socket.destroy()],
-        ["does not take it", (socket: Socket): unknown => socket],
-        ["answers with something else", (socket: Socket): unknown => socket.write("HTTP/1.1 400 Bad Request\r\n\r\n")],
-    ])("is served where it is when the neighbour %s", async (...[, handle]) => {
+        ["does not accept it", (socket: Socket): unknown => socket],
+        [
+            "sends something other than the accept byte",
+            (socket: Socket): unknown => socket.write("HTTP/1.1 400 Bad Request\r\n\r\n"),
+        ],
+    ])("is served by this router when the neighbour %s", async (...[, handle]) => {
         const target = await addApp();
         await startRouters();
         const { ip, peerPorts } = fixture.current.routers[1].settings;
@@ -153,22 +156,22 @@
         const server = createServer(handle);
         await new Promise<void>(resolve => server.listen(peerPorts[1], ip, () => resolve()));
         const headers = { "x-lynxarch-attempt-id": "a1" };
-        const answer = await sendAnew({ path: "/book/", headers, body: "b" });
+        const response = await sendOnNewConnection({ path: "/book/", headers, body: "b" });
         server.close();
-        expect({ status: answer.status, received: target.received.length }).toEqual({ status: 200, received: 1 });
+        expect({ status: response.status, received: target.received.length }).toEqual({ status: 200, received: 1 });
     });
 
-    it("is served where it is when the neighbour is busy too", async () => {
+    it("is served by this router when the neighbour is busy too", async () => {
         await addApp();
         await startRouters(busyLoad);
         const headers = { "x-lynxarch-attempt-id": "a1" };
-        expect((await sendAnew({ path: "/book/", headers })).status).toBe(200);
+        expect((await sendOnNewConnection({ path: "/book/", headers })).status).toBe(200);
         expect([readShared(0), readShared(1)]).toMatchObject([{ handedOver: 0 }, { received: 0 }]);
     });
 });
 
-// A router that is cut off from the platform may still have the configuration before: a caller of a router that has the next one would be
-// served by routes and keys that were taken away.
+// A router without a connection to the platform may still have an older configuration: a caller handed over to it would be served with
+// routes and keys that have been removed.
 it.each([
     ["older", 13, false],
     ["unknown", undefined, false],
@@ -198,8 +201,8 @@
     sharing.dispose();
 });
 
-// The address is for routers; a stranger's connection there would pass for one that a router handed over.
-it("a stranger's connection to the routers' address is closed", async () => {
+// The port is for routers only; a connection from an unknown host must not be treated as one that a router handed over.
+it("a connection from an unknown host to the routers' port is closed", async () => {
     await startRouters();
     const { ip, peerPorts } = fixture.current.routers[1].settings;
     const received = await new Promise<string>(resolve => {
--- a/test/gateway/storeRewind.test.ts
+++ b/test/gateway/storeRewind.test.ts
@@ -20,9 +20,9 @@
     return createConfiguration(version, { routes: routes.filter(({ name }) => names.includes(name)) });
 }
 
-// The store loses what it acknowledged last and gives its offsets out again: a reader that goes on at its own offset never sees the
-// records that took them.
-it("reads what was written under offsets that were given out again", async () => {
+// The store loses the last acknowledged writes and reuses their offsets. A reader that continues at its own offset would never receive the
+// records that were written under these offsets.
+it("reads records that were written under reused offsets", async () => {
     const { store } = fixture.current;
     await fixture.current.addTarget("app", "app-1");
     await fixture.current.addRouter();
@@ -35,8 +35,8 @@
     await waitUntil(async () => (await fetchStatus("/book/x")) !== 404);
 }, 10_000);
 
-// The copy holds an older configuration than the one in force.
-it("does not go back to the configuration of the copy", async () => {
+// The copy contains an older configuration than the one in force.
+it("does not revert to the configuration of the copy", async () => {
     const { store } = fixture.current;
     await fixture.current.addTarget("app", "app-1");
     await fixture.current.addRouter();
@@ -51,8 +51,8 @@
     expect([...statuses]).toEqual([404]);
 });
 
-// Targets whose entries are missing in the copy write them again within seconds; until then they are as good as before.
-it("keeps targets whose entries are missing in the copy until they can have written them again", async () => {
+// Targets whose entries are missing in the copy write them again within seconds, and are usable in the meantime.
+it("keeps targets whose entries are missing in the copy for the time that they need to write them again", async () => {
     const { store } = fixture.current;
     await fixture.current.addRouter();
     await fixture.current.addTarget("app", "app-1");
--- a/test/gateway/targetRecords/departureBudget.test.ts
+++ b/test/gateway/targetRecords/departureBudget.test.ts
@@ -2,15 +2,15 @@
 import { expect, it } from "vitest";
 import { computeDepartureBudget } from "../../../src/gateway/departureBudget.js";
 
-// Delays that are each below the bound add up to more than it.
-it("never spends more than the bound on draining", () => {
+// Delays that are each below the limit could add up to more than the limit.
+it("adds up to the time limit on draining", () => {
     fc.assert(
         fc.property(fc.integer({ min: 1, max: 60_000 }), drainMs => {
-            const spentMs = Object.values(computeDepartureBudget(drainMs)).reduce(
+            const totalMs = Object.values(computeDepartureBudget(drainMs)).reduce(
                 (sum: number, ms: number) => sum + ms,
                 0,
             );
-            expect(spentMs).toBeCloseTo(drainMs);
+            expect(totalMs).toBeCloseTo(drainMs);
         }),
         { seed: 43 },
     );
--- a/test/gateway/targetRecords/departures.property.test.ts
+++ b/test/gateway/targetRecords/departures.property.test.ts
@@ -4,14 +4,14 @@
 import { RecordsScene } from "./recordsScene.js";
 
 const seed = 43;
-/** More by hand: DEPARTURE_RUNS=2000 npx vitest run test/gateway/targetRecords. */
+/** For longer manual runs: DEPARTURE_RUNS=2000 npx vitest run test/gateway/targetRecords. */
 const numRuns = Number(process.env.DEPARTURE_RUNS ?? 40);
 const targets = 6;
-const spanMs = 24_000;
+const durationMs = 24_000;
 const tickMs = 20;
 const startMs = 4_000;
-/** Between disturbances: a router that gets no answer for longer can't know. */
-const leastGapMs = 2_500;
+/** Minimum time between disturbances; a router without responses from the store for longer can't detect that a target is leaving. */
+const minGapMs = 2_500;
 
 const impairments = ["silent", "refusing", "resetting"] as const;
 
@@ -24,7 +24,7 @@
 interface Departure {
     readonly atMs: number;
     readonly how: "removed" | "draining";
-    /** The store's history is dropped at that moment. */
+    /** Whether the store's history is dropped at that moment. */
     readonly dropsHistory: boolean;
 }
 
@@ -35,7 +35,7 @@
     readonly seed: number;
 }
 
-const gapMs = fc.integer({ min: leastGapMs, max: 8_000 });
+const gapMs = fc.integer({ min: minGapMs, max: 8_000 });
 const disturbance: fc.Arbitrary<Disturbance> = fc.oneof(
     fc.record({ kind: fc.constantFrom(...impairments), gapMs, forMs: fc.integer({ min: 20, max: 6_000 }) }),
     fc.record({ kind: fc.constant("stalled" as const), gapMs, forMs: fc.integer({ min: 20, max: 1_000 }) }),
@@ -46,7 +46,7 @@
     disturbances: fc.array(disturbance, { maxLength: 4 }),
     departures: fc.array(
         fc.record({
-            atMs: fc.integer({ min: startMs, max: spanMs - 5_000 }),
+            atMs: fc.integer({ min: startMs, max: durationMs - 5_000 }),
             how: fc.constantFrom("removed" as const, "draining" as const),
             dropsHistory: fc.boolean(),
         }),
@@ -56,9 +56,9 @@
     seed: fc.integer({ min: 1, max: 1_000 }),
 });
 
-/** When the store's condition changes, and whether the bounds hold meanwhile. */
+/** Conditions of the store over time, and whether the time limits apply. */
 class StoreSchedule {
-    private readonly spans: readonly {
+    private readonly intervals: readonly {
         readonly kind: SimulatedCondition;
         readonly from: number;
         readonly to: number;
@@ -66,7 +66,7 @@
 
     public constructor(disturbances: readonly Disturbance[]) {
         let atMs = startMs;
-        this.spans = disturbances.map(({ kind, gapMs, forMs }) => {
+        this.intervals = disturbances.map(({ kind, gapMs, forMs }) => {
             const from = atMs + gapMs;
             atMs = from + forMs;
             return { kind, from, to: atMs };
@@ -74,18 +74,18 @@
     }
 
     public findCondition(nowMs: number): SimulatedCondition {
-        return this.spans.find(({ from, to }) => nowMs >= from && nowMs < to)?.kind ?? "up";
+        return this.intervals.find(({ from, to }) => nowMs >= from && nowMs < to)?.kind ?? "up";
     }
 
-    /** Whether the store has not been impaired for the time after which its acknowledgements bind. */
+    /** Whether the store has been unimpaired for the time after which routers must comply with its acknowledgements. */
     public isStable(nowMs: number, contactMs: number): boolean {
-        return !this.spans.some(({ kind, from, to }) => {
+        return !this.intervals.some(({ kind, from, to }) => {
             return impairments.some(other => other === kind) && from <= nowMs && to > nowMs - contactMs;
         });
     }
 }
 
-/** Targets that could get requests though the bound on draining was over, by when. */
+/** Targets that could receive requests after the time limit on draining, with the times. */
 async function listBreaches({ disturbances, departures, bounds, seed: random }: Plan): Promise<readonly string[]> {
     const { drainMs, contactMs } = bounds;
     const scene = new RecordsScene(drainMs, contactMs, random);
@@ -93,15 +93,15 @@
     const breaches = new Set<string>();
     departures.forEach((...[, index]) => scene.writeRecord(`target-${index + 1}`));
     scene.start();
-    for (let nowMs = 0; nowMs < spanMs; nowMs += tickMs) {
+    for (let nowMs = 0; nowMs < durationMs; nowMs += tickMs) {
         scene.store.condition = schedule.findCondition(nowMs);
         for (const [index, { atMs, how, dropsHistory }] of departures.entries()) {
             const id = `target-${index + 1}`;
             if (atMs >= nowMs && atMs < nowMs + tickMs) {
                 writeLeaving(scene, id, how, dropsHistory);
             }
-            const isBound = nowMs > atMs + tickMs + drainMs && schedule.isStable(atMs, contactMs);
-            if (isBound && schedule.isStable(nowMs, contactMs) && scene.isOpen(id)) {
+            const isLimitOver = nowMs > atMs + tickMs + drainMs && schedule.isStable(atMs, contactMs);
+            if (isLimitOver && schedule.isStable(nowMs, contactMs) && scene.isOpen(id)) {
                 breaches.add(`${id} ${how} at ${atMs}, open at ${nowMs}`);
             }
         }
@@ -122,9 +122,9 @@
     }
 }
 
-describe("targets that leave while the store is away, refuses, resets, throttles, loses answers, stalls or drops history", () => {
-    // Whatever the order, a request that reaches a target later than the bound breaks what its operators were promised.
-    it("get nothing once the bound on draining is over", async () => {
+describe("targets that leave while the store is unresponsive, refuses, resets, throttles, loses responses, stalls or drops history", () => {
+    // In any order of events, a request that reaches a target after the time limit breaks the guarantee to the target's operators.
+    it("receive nothing once the time limit on draining is over", async () => {
         await fc.assert(
             fc.asyncProperty(plan, async sequence => {
                 expect(await listBreaches(sequence)).toEqual([]);
--- a/test/gateway/targetRecords/departures.test.ts
+++ b/test/gateway/targetRecords/departures.test.ts
@@ -3,39 +3,39 @@
 import { RecordsScene } from "./recordsScene.js";
 
 const scene = { current: new RecordsScene() };
-const calmMs = 10_000;
-/** Three heartbeats of silence. */
-const lapseMs = 3_600;
+const undisturbedMs = 10_000;
+/** A record expires after three missed heartbeats; milliseconds. */
+const expiryMs = 3_600;
 const stallMs = 1_000;
-/** Less than two periods, so that one read of the targets begins in it. */
-const longestPeriodMs = 1_050;
-/** Offsets at which a target leaves, over one period of reads: right behind a read is the worst. */
+/** Less than two read periods, so that exactly one read of the targets starts within this time; milliseconds. */
+const maxPeriodMs = 1_050;
+/** Offsets at which a target leaves within one read period, in milliseconds; the worst case is directly after a read. */
 const offsetsMs = [0, 1, 5, 10, 50, 250, 500, 750, 990];
 
 beforeEach(async () => {
     scene.current.dispose();
     scene.current = new RecordsScene();
     scene.current.start();
-    await scene.current.advance(calmMs);
+    await scene.current.advance(undisturbedMs);
 });
 
 afterEach(() => scene.current.dispose());
 
-/** The longest time that a target stays open after it left, when it leaves at each of the offsets. */
-async function measureWorst(leave: (id: string) => Promise<void>, offsets = offsetsMs): Promise<number> {
-    let worstMs = 0;
+/** Maximum time that a target stays open after it left, over all of the offsets at which it may leave. */
+async function measureMaxOpenMs(leave: (id: string) => Promise<void>, offsets = offsetsMs): Promise<number> {
+    let maxOpenMs = 0;
     for (const [index, offsetMs] of offsets.entries()) {
         const id = `target-${index + 1}`;
         scene.current.writeRecord(id);
-        await scene.current.advance(calmMs);
+        await scene.current.advance(undisturbedMs);
         await scene.current.advanceToRead(offsetMs);
         expect(scene.current.isOpen(id)).toBe(true);
         const startedAtMs = scene.current.nowMs;
         await leave(id);
         const spentMs = scene.current.nowMs - startedAtMs;
-        worstMs = Math.max(worstMs, spentMs + (await scene.current.measureOpen(id)));
+        maxOpenMs = Math.max(maxOpenMs, spentMs + (await scene.current.measureOpen(id)));
     }
-    return worstMs;
+    return maxOpenMs;
 }
 
 async function setFor(condition: SimulatedCondition, forMs: number): Promise<void> {
@@ -44,40 +44,40 @@
     scene.current.store.condition = "up";
 }
 
-describe("a target whose record is removed gets nothing once the bound on draining is over", () => {
-    it("on a calm day", async () => {
-        const worstMs = await measureWorst(id => Promise.resolve(scene.current.removeRecord(id)));
-        expect(worstMs).toBeLessThanOrEqual(scene.current.drainMs);
+describe("a target whose record is removed receives nothing once the time limit on draining is over", () => {
+    it("in undisturbed operation", async () => {
+        const maxOpenMs = await measureMaxOpenMs(id => Promise.resolve(scene.current.removeRecord(id)));
+        expect(maxOpenMs).toBeLessThanOrEqual(scene.current.drainMs);
     });
 
-    // A call that was turned away for its rate says nothing of records that lapse.
-    it("though a call was throttled just before", async () => {
-        const worstMs = await measureWorst(async id => {
+    // A throttled call is no evidence that records may have expired.
+    it("although a call was throttled just before", async () => {
+        const maxOpenMs = await measureMaxOpenMs(async id => {
             await setFor("throttling", 1_000);
             scene.current.removeRecord(id);
         });
-        expect(worstMs - 1_000).toBeLessThanOrEqual(scene.current.drainMs);
+        expect(maxOpenMs - 1_000).toBeLessThanOrEqual(scene.current.drainMs);
     });
 
-    // A call that hangs is noticed seconds after the store is back, and the removal would count as a lapse from then on.
+    // A hanging call is detected seconds after the store has recovered; a removal after that would be treated as an expiry.
     it.each(["silent", "refusing", "resetting"] as const)(
-        "though the store was %s until it counted as stable again",
+        "although the store was %s until it counted as stable again",
         checkReturn,
     );
 
     async function checkReturn(condition: SimulatedCondition): Promise<void> {
-        for (const awayMs of [300, 1_000, 2_500, 4_000]) {
-            const worstMs = await measureWorst(async id => {
-                await setFor(condition, awayMs);
+        for (const outageMs of [300, 1_000, 2_500, 4_000]) {
+            const maxOpenMs = await measureMaxOpenMs(async id => {
+                await setFor(condition, outageMs);
                 await scene.current.advance(scene.current.contactMs);
                 scene.current.removeRecord(id);
             });
-            expect(worstMs - awayMs - scene.current.contactMs).toBeLessThanOrEqual(scene.current.drainMs);
+            expect(maxOpenMs - outageMs - scene.current.contactMs).toBeLessThanOrEqual(scene.current.drainMs);
         }
     }
 });
 
-describe.each(["removed", "draining"] as const)("a target whose leaving is %s", how => {
+describe.each(["removed", "draining"] as const)("a leaving target whose record is %s", how => {
     function writeLeaving(id: string): void {
         if (how === "removed") {
             scene.current.removeRecord(id);
@@ -86,79 +86,79 @@
         }
     }
 
-    // The answer that history is gone is followed by another read; a rest between the two makes the change late.
-    it("gets nothing once the bound is over though history was dropped before it was read", async () => {
-        const worstMs = await measureWorst(id => {
+    // After the error that history was dropped, all keys are read again; a pause between the two reads would delay the change.
+    it("receives nothing once the time limit is over although history was dropped before it was read", async () => {
+        const maxOpenMs = await measureMaxOpenMs(id => {
             writeLeaving(id);
             scene.current.removeHistory();
             return Promise.resolve();
         });
-        expect(worstMs).toBeLessThanOrEqual(scene.current.drainMs);
+        expect(maxOpenMs).toBeLessThanOrEqual(scene.current.drainMs);
     });
 
-    // Rest, lost call and pause add up.
-    it("gets nothing once the bound is over though the answer of the next read is lost", async () => {
-        const worstMs = await measureWorst(async id => {
+    // The wait for the next read, the lost call and the pause before the repeated read add up.
+    it("receives nothing once the time limit is over although the response of the next read is lost", async () => {
+        const maxOpenMs = await measureMaxOpenMs(async id => {
             writeLeaving(id);
-            await setFor("losing", longestPeriodMs);
+            await setFor("losing", maxPeriodMs);
         });
-        expect(worstMs).toBeLessThanOrEqual(scene.current.drainMs);
+        expect(maxOpenMs).toBeLessThanOrEqual(scene.current.drainMs);
     });
 
-    // While nothing else is written reads wait; one that is not woken must be given up in time.
-    it("gets nothing once the bound is over though a read that waits is not woken", async () => {
+    // Reads wait while nothing else is written; a waiting read that the store doesn't complete must time out early enough.
+    it("receives nothing once the time limit is over although a waiting read is not completed", async () => {
         scene.current.stopHeartbeats();
-        const worstMs = await measureWorst(
+        const maxOpenMs = await measureMaxOpenMs(
             async id => {
                 writeLeaving(id);
                 await setFor("stalled", stallMs);
             },
             [...offsetsMs, 1_003, 1_010, 1_050, 1_090],
         );
-        expect(worstMs).toBeLessThanOrEqual(scene.current.drainMs);
+        expect(maxOpenMs).toBeLessThanOrEqual(scene.current.drainMs);
     });
 });
 
 describe("an order of the operators", () => {
-    const boundMs = 2_000;
+    const limitMs = 2_000;
 
-    // The read that waits for it is not woken; noticed late, a configuration would not be in force in its time.
-    it("is in force in time though one read hangs", async () => {
+    // The read that waits for the order is not completed. If that is detected late, a configuration would not be in force in time.
+    it("is in force in time although one read hangs", async () => {
         const { current } = scene;
         for (const offsetMs of offsetsMs) {
-            await current.advance(calmMs + offsetMs);
+            await current.advance(undisturbedMs + offsetMs);
             const writtenAtMs = current.nowMs;
             current.writeOrder();
             await setFor("stalled", stallMs);
-            await current.advance(calmMs);
-            expect((current.outAtMs ?? Number.POSITIVE_INFINITY) - writtenAtMs).toBeLessThanOrEqual(boundMs);
+            await current.advance(undisturbedMs);
+            expect((current.outAtMs ?? Number.POSITIVE_INFINITY) - writtenAtMs).toBeLessThanOrEqual(limitMs);
         }
     });
 });
 
-describe("a target that left before the store came back from an older copy", () => {
-    // The copy still has its record as ready, until it lapses there: taken for a new target, it would get requests again.
-    it("gets nothing more", async () => {
+describe("a target that left before the store was restored from an older copy", () => {
+    // The copy contains the target's record as ready until the record expires. Treated as a new target, it would receive requests again.
+    it("receives no more requests", async () => {
         const { current } = scene;
         current.writeRecord("target-1");
-        await current.advance(calmMs);
+        await current.advance(undisturbedMs);
         const copy = current.takeCopy();
         current.removeRecord("target-1");
-        await current.advance(calmMs);
+        await current.advance(undisturbedMs);
         current.resumeFromCopy(copy);
-        setTimeout(() => current.removeRecord("target-1"), lapseMs);
+        setTimeout(() => current.removeRecord("target-1"), expiryMs);
         expect(await current.measureOpen("target-1")).toBe(0);
     });
 
-    it("gets requests where it is alive and its record stays", async () => {
+    it("receives requests if it is running and its record stays", async () => {
         const { current } = scene;
         current.writeRecord("target-1");
-        await current.advance(calmMs);
+        await current.advance(undisturbedMs);
         const copy = current.takeCopy();
         current.removeRecord("target-1");
-        await current.advance(calmMs);
+        await current.advance(undisturbedMs);
         current.resumeFromCopy(copy);
-        await current.advance(calmMs);
+        await current.advance(undisturbedMs);
         expect(current.isOpen("target-1")).toBe(true);
     });
 });
--- a/test/gateway/targetRecords/recordsScene.ts
+++ b/test/gateway/targetRecords/recordsScene.ts
@@ -11,11 +11,11 @@
 
 const topic = "keyed.servers";
 const stepMs = 10;
-/** Around the bound, time passes by single milliseconds. */
-const fineSpanMs = 50;
+/** Distance from the time limit within which time advances in steps of 1 ms; milliseconds. */
+const fineStepRangeMs = 50;
 const heartbeatMs = 70;
 
-/** A router's view of the targets beside a simulated store, on fake timers. */
+/** A router's target directory that reads from a simulated store, on fake timers. */
 export class RecordsScene {
     public readonly store = new SimulatedStore();
     public readonly directory: TargetDirectory;
@@ -23,7 +23,7 @@
     private readonly clock = new SystemClock();
     private writes = 0;
     private heartbeat: NodeJS.Timeout | undefined;
-    /** When an order of the operators was last in force. */
+    /** When the router last applied a change of a data centre; undefined before the first. */
     public outAtMs: number | undefined;
 
     public constructor(
@@ -60,7 +60,7 @@
         this.store.write("keyed.op", "note", {});
     }
 
-    /** Starts the router, and a target that goes on writing, as others do: a read that follows changes returns at once. */
+    /** Starts reading, and a target that writes its record continuously, so that reads that wait for changes return soon. */
     public start(): void {
         this.feed.start();
         const tick = (): void => {
@@ -70,7 +70,7 @@
         tick();
     }
 
-    /** Nothing is written any more but by the test: reads wait for it. */
+    /** Stops the periodic writes: from then on, only the test writes, and reads wait for changes. */
     public stopHeartbeats(): void {
         clearTimeout(this.heartbeat);
     }
@@ -80,7 +80,7 @@
         return this.clock.nowMs();
     }
 
-    /** Writes a target's record as the target itself does; its number rises with each one. */
+    /** Writes a target's record as the target itself does, with an increasing sequence number. */
     public writeRecord(id: string, state: "ready" | "draining" = "ready"): void {
         this.writes += 1;
         this.store.write(topic, id, {
@@ -94,12 +94,12 @@
         });
     }
 
-    /** The operators take a data centre out. */
+    /** Writes the operators' order to take a data centre out of service. */
     public writeOrder(): void {
         this.store.write("keyed.op", "evacuate/dc-b", {});
     }
 
-    /** The store takes a target's record away. */
+    /** Removes a target's record from the store. */
     public removeRecord(id: string): void {
         this.store.write(topic, id, undefined);
     }
@@ -122,7 +122,7 @@
         return target !== undefined && this.directory.isOpen(target) && !this.directory.isClosed(target);
     }
 
-    /** Lets time pass until `offsetMs` after the store has answered a read of the targets. */
+    /** Advances the time until `offsetMs` after the store has responded to a read of the targets. */
     public async advanceToRead(offsetMs: number): Promise<void> {
         const { answers } = this.store;
         while (this.store.answers === answers) {
@@ -135,15 +135,15 @@
         await vi.advanceTimersByTimeAsync(ms);
     }
 
-    /** Lets time pass; for how long from now on the target could still get requests, in milliseconds. */
-    public async measureOpen(id: string, spanMs = 8_000): Promise<number> {
+    /** Advances the time and returns for how long from now the target could still receive requests; milliseconds. */
+    public async measureOpen(id: string, durationMs = 8_000): Promise<number> {
         let lastMs = 0;
-        for (let passedMs = 0; passedMs < spanMs;) {
-            lastMs = this.isOpen(id) ? passedMs : lastMs;
-            const isNearBound = Math.abs(passedMs - this.drainMs) <= fineSpanMs;
-            const ms = isNearBound ? 1 : stepMs;
+        for (let elapsedMs = 0; elapsedMs < durationMs;) {
+            lastMs = this.isOpen(id) ? elapsedMs : lastMs;
+            const isNearLimit = Math.abs(elapsedMs - this.drainMs) <= fineStepRangeMs;
+            const ms = isNearLimit ? 1 : stepMs;
             await this.advance(ms);
-            passedMs += ms;
+            elapsedMs += ms;
         }
         return lastMs;
     }
