--- a/src/gateway/accountCharge.ts
+++ b/src/gateway/accountCharge.ts
@@ -15,7 +15,7 @@
 
 /** Charges one request to its account's share, from its arrival to its end. */
 export class AccountCharge {
-    private requested = 0;
+    private asked = 0;
     private served = 0;
 
     public constructor(
@@ -25,7 +25,7 @@
 
     /** Tokens charged as requested: prompt tokens plus weighted expected output tokens; 0 before the request is recorded. */
     public get askedTokens(): number {
-        return this.requested;
+        return this.asked;
     }
 
     /** Tokens charged as served: the requested tokens once the request was sent to a target; 0 if no target executed it. */
@@ -43,8 +43,8 @@
     public recordAsked(): void {
         const { account, head } = this.routed;
         if (account !== undefined && head.promptTokens > 0) {
-            this.requested = computeChargedTokens(this.context, this.routed);
-            this.context.shares.recordAsked(account, this.requested, this.context.clock.nowMs());
+            this.asked = computeChargedTokens(this.context, this.routed);
+            this.context.shares.recordAsked(account, this.asked, this.context.clock.nowMs());
         }
     }
 
@@ -52,8 +52,8 @@
     public recordServed(): void {
         const { account, figures } = this.routed;
         figures.record("sent");
-        if (account !== undefined && this.requested > 0 && this.served === 0) {
-            this.served = this.requested;
+        if (account !== undefined && this.asked > 0 && this.served === 0) {
+            this.served = this.asked;
             this.context.shares.recordServed(account, this.served, this.context.clock.nowMs());
         }
     }
--- a/src/gateway/accountSummary.ts
+++ b/src/gateway/accountSummary.ts
@@ -19,7 +19,7 @@
  */
 export class AccountSummary implements Disposable {
     private readonly timer = setInterval(() => this.write(), intervalMs);
-    private readonly lastCounts = new Map<string, StageCounts>();
+    private readonly before = new Map<string, StageCounts>();
 
     public constructor(
         private readonly logger: Logger,
@@ -44,13 +44,13 @@
         const refused: RefusedAccount[] = [];
         for (const snapshot of this.listAccounts()) {
             const { account, counts } = snapshot;
-            const before = this.lastCounts.get(account) ?? new StageCounts();
+            const before = this.before.get(account) ?? new StageCounts();
             const count = counts.countRefused() - before.countRefused();
             if (count > 0) {
                 refused.push({ ...snapshot, counts: counts.createDifference(before), refused: count });
             }
             before.setAll(counts);
-            this.lastCounts.set(account, before);
+            this.before.set(account, before);
         }
         return refused;
     }
--- a/src/gateway/connectionRelay.ts
+++ b/src/gateway/connectionRelay.ts
@@ -82,7 +82,7 @@
 
 /** One forwarded connection, from the caller's first bytes until both sides have ended. */
 class RelayedConnection {
-    private readonly buffered: Buffer[] = [];
+    private readonly held: Buffer[] = [];
     private bufferedBytes = 0;
     private isDisconnected = false;
     private isWaiting = false;
@@ -123,7 +123,7 @@
     }
 
     private addBuffered(chunk: Buffer): void {
-        this.buffered.push(chunk);
+        this.held.push(chunk);
         this.bufferedBytes += chunk.length;
         if (this.bufferedBytes > maxBufferedBytes) {
             this.socket.pause();
@@ -173,7 +173,7 @@
     /** Forwards data and end of stream in both directions; an error on either side closes both. */
     private connectSides(upstream: Socket): void {
         const { socket } = this;
-        upstream.write(Buffer.concat(this.buffered.splice(0)));
+        upstream.write(Buffer.concat(this.held.splice(0)));
         socket.pipe(upstream);
         upstream.pipe(socket);
         upstream.once("close", hasError => (hasError ? socket.resetAndDestroy() : socket.destroySoon()));
@@ -184,7 +184,7 @@
         if (this.isDisconnected) {
             return;
         }
-        this.socket.unshift(Buffer.concat(this.buffered.splice(0)));
+        this.socket.unshift(Buffer.concat(this.held.splice(0)));
         observer.handleUnreached(this.socket);
         this.socket.resume();
     }
--- a/src/gateway/departureBudget.ts
+++ b/src/gateway/departureBudget.ts
@@ -18,15 +18,15 @@
     readonly deliveryMs: number;
 }
 
-/** Fractions of the whole time; they add up to 1. A slow but working store responds within `response`. */
-const fractions = { period: 0.5, wait: 0.05, response: 0.2, pause: 0.1, delivery: 0.15 } as const;
+/** Fractions of the whole time; they add up to 1. A slow but working store responds within the fraction `answer`. */
+const fractions = { period: 0.5, wait: 0.05, answer: 0.2, pause: 0.1, delivery: 0.15 } as const;
 
 /** Divides the time from the store's acknowledgement that a target is leaving to the last request that may reach the target. */
 export function computeDepartureBudget(drainMs: number): DepartureBudget {
     return {
         periodMs: drainMs * fractions.period,
         waitMs: drainMs * fractions.wait,
-        answerMs: drainMs * fractions.response,
+        answerMs: drainMs * fractions.answer,
         pauseMs: drainMs * fractions.pause,
         deliveryMs: drainMs * fractions.delivery,
     };
--- a/src/gateway/registry.ts
+++ b/src/gateway/registry.ts
@@ -6,12 +6,12 @@
 
     /** Returns the value of this name and creates it if there is none. */
     public find(name: string): T {
-        let value = this.values.get(name);
-        if (value === undefined) {
-            value = this.create();
-            this.values.set(name, value);
+        let instance = this.values.get(name);
+        if (instance === undefined) {
+            instance = this.create();
+            this.values.set(name, instance);
         }
-        return value;
+        return instance;
     }
 
     /** Calls `visit` for each value created so far. */
