--- a/src/gateway/accountFigures.ts
+++ b/src/gateway/accountFigures.ts
@@ -102,7 +102,7 @@
     }
 }
 
-/** Maximum number of accounts counted by name; several times the number of accounts that usually use one router. */
+/** Maximum number of accounts counted by name; several times a fleet's usual number of accounts. */
 const maxNamedAccounts = 100;
 /** Label under which all accounts beyond the limit of named accounts are counted together. */
 export const otherAccounts = "other";
--- a/src/gateway/accountMetrics.ts
+++ b/src/gateway/accountMetrics.ts
@@ -31,7 +31,7 @@
         });
         this.surplus = new Gauge({
             name: "lynxarch_account_surplus",
-            help: "Tokens recently served to the account relative to the even level among accounts, as computed by this router.",
+            help: "Tokens recently served to the account relative to the max-min fair level of recent service, as computed by this router.",
             labelNames: ["account"],
             registers,
         });
