--- a/src/gateway/accountMetrics.ts
+++ b/src/gateway/accountMetrics.ts
@@ -1,13 +1,13 @@
 import { Counter, Gauge, type Registry } from "prom-client";
-import type { ShareUse } from "../decisions/shares/accountShares.js";
-import { accountStages, type AccountStage, type StageCounts } from "./accountFigures.js";
+import type { ShareUsage } from "../decisions/shares/accountShares.js";
+import { accountStages, type AccountStage, type StageCounts } from "./accountStatistics.js";
 
 /** Statistics of one account on this router. */
-export interface AccountReading {
+export interface AccountSnapshot {
     readonly account: string;
     readonly counts: StageCounts;
     /** Computes its usage of its fair share and of the surplus; undefined for the group of accounts that are counted together. */
-    readonly computeUse: () => ShareUse | undefined;
+    readonly computeUsage: () => ShareUsage | undefined;
 }
 
 /** Stages exported even when no request reached them, so that an account without service shows a zero instead of no series. */
@@ -50,12 +50,12 @@
     }
 
     /** Replaces all values by those of the given accounts. */
-    public update(snapshots: readonly AccountReading[]): void {
+    public update(snapshots: readonly AccountSnapshot[]): void {
         this.requests.reset();
         this.tokens.reset();
         this.share.reset();
         this.surplus.reset();
-        for (const { account, counts, computeUse } of snapshots) {
+        for (const { account, counts, computeUsage: computeUse } of snapshots) {
             this.addStages(account, counts);
             const usage = computeUse();
             if (usage !== undefined) {
--- a/src/gateway/accountFigures.ts
+++ b/src/gateway/accountStatistics.ts
@@ -1,5 +1,5 @@
-import type { FlowEnd } from "./flowEndings.js";
-import type { OwnAnswerReason } from "./ownAnswer.js";
+import type { FlowOutcome } from "./flowOutcomes.js";
+import type { RouterResponseReason } from "./routerResponse.js";
 
 /** Reasons other than `busy` for which a request of an account may be refused. */
 const refusals = [
@@ -11,7 +11,7 @@
     "body-too-large",
     "suspect-runs",
     "crashes-targets",
-] as const satisfies readonly OwnAnswerReason[];
+] as const satisfies readonly RouterResponseReason[];
 
 /** Stages that a request may reach while it is processed; docs/OPERATIONS.md describes each. */
 export const accountStages = [
@@ -76,7 +76,7 @@
     }
 
     /** Stages that at least one request has reached. */
-    public listReached(): readonly AccountStage[] {
+    public listReachedStages(): readonly AccountStage[] {
         return accountStages.filter(stage => this.getRequests(stage) > 0);
     }
 
@@ -105,15 +105,15 @@
 /** Maximum number of accounts counted by name; several times a fleet's usual number of accounts. */
 const maxNamedAccounts = 100;
 /** Label under which all accounts beyond the limit of named accounts are counted together. */
-export const otherAccounts = "other";
+export const otherAccountsLabel = "other";
 
 /** Counts the requests of each account on this router since its start, by the stages that they reached. */
-export class AccountFigures {
+export class AccountStatistics {
     private readonly accounts = new Map<string, StageCounts>();
 
     /** Creates the statistics of one request. `account` is undefined on public routes; `tokens` are charged to its account's share. */
-    public createRequest(account: string | undefined, tokens: number): RequestFigures {
-        return new RequestFigures(account === undefined ? undefined : this.findCounts(account), tokens);
+    public createRequest(account: string | undefined, tokens: number): RequestStatistics {
+        return new RequestStatistics(account === undefined ? undefined : this.findCounts(account), tokens);
     }
 
     /** All accounts that are counted by name, and the group of the others, with their counts. */
@@ -127,7 +127,7 @@
         if (existing !== undefined) {
             return existing;
         }
-        const name = this.accounts.size < maxNamedAccounts ? account : otherAccounts;
+        const name = this.accounts.size < maxNamedAccounts ? account : otherAccountsLabel;
         const counts = this.accounts.get(name) ?? new StageCounts();
         this.accounts.set(name, counts);
         return counts;
@@ -135,7 +135,7 @@
 }
 
 /** Counts one request, at most once for each stage. */
-export class RequestFigures {
+export class RequestStatistics {
     /** Bit mask of the stages that the request has reached. */
     private reached = 0;
 
@@ -156,7 +156,7 @@
     }
 
     /** Counts the request at the stage that describes how it ended. */
-    public recordEnd(end: Pick<FlowEnd, "outcome" | "reason"> & Partial<FlowEnd>): void {
+    public recordEnd(end: Pick<FlowOutcome, "outcome" | "reason"> & Partial<FlowOutcome>): void {
         this.record(this.findEndStage(end));
     }
 
@@ -165,7 +165,7 @@
         reason,
         timeliness,
         firstOutputMs,
-    }: Pick<FlowEnd, "outcome" | "reason"> & Partial<FlowEnd>): AccountStage {
+    }: Pick<FlowOutcome, "outcome" | "reason"> & Partial<FlowOutcome>): AccountStage {
         switch (outcome) {
             case "answered":
                 return timeliness === "late-first-output" || timeliness === "late-pause" ? "late" : "in-time";
--- a/src/gateway/heldPartsLoader.ts
+++ b/src/gateway/cachedPartsLoader.ts
@@ -14,7 +14,7 @@
  * it would route prompts away from the engines that have their shared parts cached, and refuse most prompts because their estimates
  * include a complete prefill. Later, peers report parts when they are prefilled.
  */
-export class HeldPartsLoader implements Disposable {
+export class CachedPartsLoader implements Disposable {
     private readonly cancellation = new CancellationTokenSource();
 
     public constructor(
@@ -36,7 +36,7 @@
     }
 
     /** Waits until the source has listed the engines, then queries them. */
-    public async loadOnceUsable(source: Pick<FleetSource, "isUsable">): Promise<void> {
+    public async loadWhenUsable(source: Pick<FleetSource, "isUsable">): Promise<void> {
         const { token } = this.cancellation;
         while (!source.isUsable && !token.isCancelled) {
             await sleepOnTimer(usablePollMs, token);
@@ -50,7 +50,7 @@
 
     private async loadOne(engine: Target): Promise<number> {
         const { availability } = engine;
-        const list = await this.inspector.listHeldParts(engine.entry.address, this.cancellation.token);
+        const list = await this.inspector.listCachedParts(engine.entry.address, this.cancellation.token);
         return list.match(
             response => {
                 this.directory.observeSignals(engine, availability, response);
--- a/src/gateway/configuration.ts
+++ b/src/gateway/configuration.ts
@@ -15,7 +15,7 @@
 }
 
 /** One route: which requests it matches and how they are served. */
-export interface ServedRoute {
+export interface RouteConfiguration {
     readonly name: string;
     readonly host: string;
     /** Starts and ends with a slash. */
@@ -55,7 +55,7 @@
 }
 
 /** A service that targets serve. */
-export interface ServedService {
+export interface ServiceConfiguration {
     readonly name: string;
     /** Maximum number of connections that one target accepts from all routers together. */
     readonly maxConnections: number;
@@ -68,7 +68,7 @@
 }
 
 /** A client account and its API keys. */
-export interface ServedAccount {
+export interface AccountConfiguration {
     readonly name: string;
     readonly apiKeys: readonly string[];
     /** Overrides the route's priority. */
@@ -86,11 +86,11 @@
 }
 
 /** The complete configuration set by the operators. */
-export interface ServedConfiguration {
+export interface GatewayConfiguration {
     /** Increases with each change, not necessarily by 1. */
     readonly version: number;
-    readonly routes: readonly ServedRoute[];
-    readonly services: readonly ServedService[];
-    readonly accounts: readonly ServedAccount[];
+    readonly routes: readonly RouteConfiguration[];
+    readonly services: readonly ServiceConfiguration[];
+    readonly accounts: readonly AccountConfiguration[];
     readonly limits: CallerLimits;
 }
--- a/src/gateway/connectionRelay.ts
+++ b/src/gateway/connectionRelay.ts
@@ -6,7 +6,7 @@
     /** The neighbour accepted the connection. */
     handleHandedOver(): void;
     /** The neighbour did not accept the connection: no data was forwarded, and the socket is in its original state. */
-    handleUnreached(socket: Socket): void;
+    handleUnreachable(socket: Socket): void;
 }
 
 /**
@@ -67,9 +67,9 @@
                     socket.once("close", () => (this.openCount -= 1));
                     observer.handleHandedOver();
                 },
-                handleUnreached: () => {
+                handleUnreachable: () => {
                     this.sockets.delete(socket);
-                    observer.handleUnreached(socket);
+                    observer.handleUnreachable(socket);
                 },
             });
         });
@@ -185,7 +185,7 @@
             return;
         }
         this.socket.unshift(Buffer.concat(this.held.splice(0)));
-        observer.handleUnreached(this.socket);
+        observer.handleUnreachable(this.socket);
         this.socket.resume();
     }
 }
--- a/src/gateway/connectionSharing.ts
+++ b/src/gateway/connectionSharing.ts
@@ -23,7 +23,7 @@
     readonly port: number;
     readonly dataCentre: string;
     /** Maximum number of connections forwarded at a time; each uses two descriptors. */
-    readonly mostRelayed: number;
+    readonly maxRelayedConnections: number;
     readonly peers: SharingPeers;
     readonly load: Pick<LoadSource, "loop">;
     readonly getConfigurationVersion: () => number | undefined;
@@ -40,11 +40,18 @@
     parts: Pick<ConnectionSharingOptions, "peers" | "load" | "clock" | "random" | "getConfigurationVersion">,
 ): ConnectionSharingOptions {
     const mostRelayed = Math.floor(limits.maxDescriptors * maxRelayedDescriptorShare);
-    return { ip, port: peerPorts[1], dataCentre, mostRelayed, isEnabled: handsOverConnections, ...parts };
+    return {
+        ip,
+        port: peerPorts[1],
+        dataCentre,
+        maxRelayedConnections: mostRelayed,
+        isEnabled: handsOverConnections,
+        ...parts,
+    };
 }
 
 /** Counts of shared connections since the start of the process. */
-export interface SharedConnections {
+export interface SharedConnectionCounts {
     readonly handedOver: number;
     readonly received: number;
     /** Connections served by this router because the neighbour did not accept them. */
@@ -73,7 +80,7 @@
     }
 
     /** Counts of shared connections since the start of the process. */
-    public get shared(): SharedConnections {
+    public get shared(): SharedConnectionCounts {
         return this.counts;
     }
 
@@ -96,7 +103,7 @@
 
     /** Tries to hand the connection over to a neighbour; returns false if this router must serve it. */
     public offer(socket: Socket): boolean {
-        const { peers, load, clock, random, mostRelayed, isEnabled } = this.options;
+        const { peers, load, clock, random, maxRelayedConnections: mostRelayed, isEnabled } = this.options;
         if (!isEnabled || this.received.has(socket) || this.declined.has(socket) || this.relay.size >= mostRelayed) {
             return false;
         }
@@ -108,7 +115,7 @@
         }
         this.relay.add(socket, ip, {
             handleHandedOver: () => (this.counts.handedOver += 1),
-            handleUnreached: unreached => {
+            handleUnreachable: unreached => {
                 this.counts.unreached += 1;
                 this.declined.add(unreached);
                 this.serve(unreached);
--- a/src/gateway/engineInspector.ts
+++ b/src/gateway/engineInspector.ts
@@ -4,12 +4,12 @@
 import type { PromptPart, TargetSignals } from "./wire.js";
 
 /** An engine did not list its cached prompt parts. */
-export class EngineListError extends LynxarchError {
+export class CachedPartListError extends LynxarchError {
     public readonly code = "engine-list-unavailable";
 }
 
 /** An engine's response to a query for its cached prompt parts. */
-export interface EngineList extends TargetSignals {
+export interface CachedPartList extends TargetSignals {
     /** Empty where the engine rejected the query. */
     readonly parts: readonly PromptPart[];
 }
@@ -17,5 +17,5 @@
 /** Queries the state of model engines. */
 export interface EngineInspector {
     /** Lists the prompt parts that the engine has cached. Errors: no response in time, or a malformed one. */
-    listHeldParts(address: string, token: CancellationToken): ResultAsync<EngineList, EngineListError>;
+    listCachedParts(address: string, token: CancellationToken): ResultAsync<CachedPartList, CachedPartListError>;
 }
--- a/src/gateway/fleetSource.ts
+++ b/src/gateway/fleetSource.ts
@@ -1,11 +1,11 @@
 import type { Event } from "../base/event.js";
-import type { StoreContact } from "../decisions/health/lapsePolicy.js";
+import type { StoreContact } from "../decisions/health/recordExpiryPolicy.js";
 import type { Disposable } from "../base/lifecycle.js";
 import type { QuarantineRecords } from "./quarantine/quarantineRecords.js";
 import type { RolloutOrder, RolloutRecords, RolloutStatus } from "./rollouts/rolloutRecords.js";
-import type { ServedConfiguration } from "./configuration.js";
+import type { GatewayConfiguration } from "./configuration.js";
 
-export type { StoreOutage } from "../decisions/health/lapsePolicy.js";
+export type { StoreOutage } from "../decisions/health/recordExpiryPolicy.js";
 
 /** A target's registration, as the target wrote it. */
 export interface TargetEntry {
@@ -27,7 +27,7 @@
 
 /** One change of the platform's records. */
 export type FleetChange =
-    | { readonly kind: "configuration"; readonly configuration: ServedConfiguration }
+    | { readonly kind: "configuration"; readonly configuration: GatewayConfiguration }
     /** `entry` undefined: the registration was removed. */
     | { readonly kind: "target"; readonly id: string; readonly entry: TargetEntry | undefined }
     /** A data centre was taken out of service, or put back into service. */
@@ -43,11 +43,11 @@
     /** State of the store as seen by reads of the targets' records. */
     readonly targets: StoreContact;
     /** Reads of the platform's records since the start of the process, by kind of records and outcome. */
-    readonly reads: readonly ReadCount[];
+    readonly reads: readonly StoreReadCount[];
 }
 
 /** Outcome of a read of the platform's records. */
-export type ReadOutcome =
+export type StoreReadOutcome =
     | "answered"
     /** Rejected by the store's rate limit. */
     | "throttled"
@@ -58,14 +58,14 @@
     | "older-copy";
 
 /** Number of reads with the same kind of records and the same outcome. */
-export interface ReadCount {
+export interface StoreReadCount {
     readonly records: "operators" | "targets";
-    readonly outcome: ReadOutcome;
+    readonly outcome: StoreReadOutcome;
     readonly count: number;
 }
 
 /** The platform's newest records in their original form, for transfer to a router that can't read them itself. */
-export interface SourceSnapshot {
+export interface FleetSnapshot {
     /** `value` is base64; only the platform adapter interprets it. */
     readonly records: readonly { readonly topic: string; readonly key: string; readonly value: string }[];
 }
@@ -85,7 +85,7 @@
     /** Starts reading the platform's records. */
     start(): void;
     /** All records read from the platform; undefined before the first complete read. */
-    createSnapshot(): SourceSnapshot | undefined;
+    createSnapshot(): FleetSnapshot | undefined;
     /** Applies records that a peer read, unless records were read from the platform itself. */
-    applySnapshot(snapshot: SourceSnapshot): void;
+    applySnapshot(snapshot: FleetSnapshot): void;
 }
--- a/src/gateway/registry.ts
+++ b/src/gateway/lazyMap.ts
@@ -1,11 +1,11 @@
 /** Map that creates a value when its name is first looked up. */
-export class Registry<T> {
+export class LazyMap<T> {
     private readonly values = new Map<string, T>();
 
     public constructor(private readonly create: () => T) {}
 
     /** Returns the value of this name and creates it if there is none. */
-    public find(name: string): T {
+    public getOrCreate(name: string): T {
         let instance = this.values.get(name);
         if (instance === undefined) {
             instance = this.create();
--- a/src/gateway/removedRecords.ts
+++ b/src/gateway/recordRemovalTracker.ts
@@ -1,14 +1,14 @@
 import type { Clock } from "../base/clock.js";
 import type { Disposable } from "../base/lifecycle.js";
 import type { Logger } from "../base/log.js";
-import type { LapsePolicy, RemovalVerdict } from "../decisions/health/lapsePolicy.js";
+import type { RecordExpiryPolicy, RemovalVerdict } from "../decisions/health/recordExpiryPolicy.js";
 import type { Target } from "./target.js";
 
-/** Options of {@link RemovedRecords}. */
-export interface RemovedRecordsOptions {
+/** Options of {@link RecordRemovalTracker}. */
+export interface RecordRemovalOptions {
     readonly clock: Clock;
     readonly logger: Logger;
-    readonly lapses: LapsePolicy;
+    readonly expiryPolicy: RecordExpiryPolicy;
 }
 
 /** Removal of a target's record while the target itself may still be running; monotonic times, milliseconds. */
@@ -19,18 +19,18 @@
 }
 
 /** Keeps targets for a limited time after their records were removed, as they may still be running. */
-export class RemovedRecords implements Disposable {
+export class RecordRemovalTracker implements Disposable {
     private readonly timers = new Map<string, NodeJS.Timeout>();
 
     /** `onDidExpire`: called when the time is over and the target must be removed. */
     public constructor(
-        private readonly options: RemovedRecordsOptions,
+        private readonly options: RecordRemovalOptions,
         private readonly onDidExpire: (id: string) => void,
     ) {}
 
     /** Handles the removal of a target's record; returns false if the target must be removed at once. */
     public handleRemoval(target: Target): boolean {
-        const { clock, lapses: expiryPolicy } = this.options;
+        const { clock, expiryPolicy: expiryPolicy } = this.options;
         const nowMs = clock.nowMs();
         const verdict = expiryPolicy.checkRemoval(nowMs);
         const { keptUntilMs } = verdict;
--- a/test/gateway/gatewayMetrics.test.ts
+++ b/test/gateway/gatewayMetrics.test.ts
@@ -1,10 +1,10 @@
 import { describe, expect, it } from "vitest";
-import { AccountFigures } from "../../src/gateway/accountFigures.js";
+import { AccountStatistics } from "../../src/gateway/accountStatistics.js";
 import { GatewayMetrics } from "../../src/gateway/gatewayMetrics.js";
 
 const usage = { share: 0.5, surplus: 1.25, sumsAgeMs: 0 };
 
-function createMetrics(statistics: AccountFigures): GatewayMetrics {
+function createMetrics(statistics: AccountStatistics): GatewayMetrics {
     return new GatewayMetrics(() => ({
         openRequests: 0,
         configurationVersion: 1,
@@ -22,12 +22,12 @@
             statistics.listAll().map(([account, counts]) => ({
                 account,
                 counts,
-                computeUse: () => (account === "other" ? undefined : usage),
+                computeUsage: () => (account === "other" ? undefined : usage),
             })),
     }));
 }
 
-function recordRequest(statistics: AccountFigures, account: string, askedTokens: number, isServed: boolean): void {
+function recordRequest(statistics: AccountStatistics, account: string, askedTokens: number, isServed: boolean): void {
     const request = statistics.createRequest(account, askedTokens);
     request.record("read");
     if (isServed) {
@@ -42,7 +42,7 @@
     );
 }
 
-async function listLines(statistics: AccountFigures, name: string): Promise<readonly string[]> {
+async function listLines(statistics: AccountStatistics, name: string): Promise<readonly string[]> {
     const metrics = createMetrics(statistics);
     await metrics.render();
     const text = await metrics.render();
@@ -52,7 +52,7 @@
 describe("tokens by account", () => {
     // To find out why one account is served less than another, refusals by reason are not enough: requested and served tokens are needed.
     it("show what each requested and was served", async () => {
-        const statistics = new AccountFigures();
+        const statistics = new AccountStatistics();
         recordRequest(statistics, "first", 900, true);
         recordRequest(statistics, "first", 600, false);
         recordRequest(statistics, "second", 100, false);
@@ -81,7 +81,7 @@
     });
 
     it("are counted together beyond the limit of named accounts", async () => {
-        const statistics = new AccountFigures();
+        const statistics = new AccountStatistics();
         for (let index = 0; index < 150; index++) {
             recordRequest(statistics, `a${index}`, 10, false);
         }
@@ -92,7 +92,7 @@
     });
 
     it("are exported along with the router's load", async () => {
-        const statistics = new AccountFigures();
+        const statistics = new AccountStatistics();
         const names = ["lynxarch_shed_share", "lynxarch_loop_utilization", "lynxarch_loop_delay_seconds"];
         expect((await Promise.all(names.map(name => listLines(statistics, name)))).flat()).toMatchInlineSnapshot(`
           [
@@ -108,8 +108,8 @@
     // If a target that has left still receives requests, the metrics must show whether its record was read late or was kept.
     it("shows its age and the outcomes of reads", async () => {
         const lines = [
-            ...(await listLines(new AccountFigures(), "lynxarch_targets_view")),
-            ...(await listLines(new AccountFigures(), "lynxarch_store_reads")),
+            ...(await listLines(new AccountStatistics(), "lynxarch_targets_view")),
+            ...(await listLines(new AccountStatistics(), "lynxarch_store_reads")),
         ];
         expect(lines).toMatchInlineSnapshot(`
           [
@@ -130,14 +130,14 @@
             { outcome: "timeout", reason: "" },
             { outcome: "answered", reason: "", timeliness: "in-time" },
         ] as const;
-        const statistics = new AccountFigures();
+        const statistics = new AccountStatistics();
         for (const [index, end] of ends.entries()) {
             const request = statistics.createRequest(`a${index}`, 1);
             request.record("read");
             request.recordEnd(end);
         }
         statistics.createRequest("a6", 1).recordEnd({ outcome: "left", reason: "" });
-        const stages = statistics.listAll().map(([, counts]) => counts.listReached().join(" "));
+        const stages = statistics.listAll().map(([, counts]) => counts.listReachedStages().join(" "));
         expect(stages).toMatchInlineSnapshot(`
           [
             "read shed",
