--- a/src/gateway/accountMetrics.ts
+++ b/src/gateway/accountMetrics.ts
@@ -55,9 +55,9 @@
         this.tokens.reset();
         this.share.reset();
         this.surplus.reset();
-        for (const { account, counts, computeUsage: computeUse } of snapshots) {
+        for (const { account, counts, computeUsage } of snapshots) {
             this.addStages(account, counts);
-            const usage = computeUse();
+            const usage = computeUsage();
             if (usage !== undefined) {
                 this.share.set({ account }, usage.share);
                 this.surplus.set({ account }, usage.surplus);
--- a/src/gateway/accountSummary.ts
+++ b/src/gateway/accountSummary.ts
@@ -56,8 +56,8 @@
     }
 }
 
-function formatAccount({ account, counts, refused, computeUsage: computeUse }: RefusedAccount): string {
-    const usage = computeUse();
+function formatAccount({ account, counts, refused, computeUsage }: RefusedAccount): string {
+    const usage = computeUsage();
     const shed = counts.getRequests("shed");
     const fields = [
         `read=${counts.getRequests("read")}`,
--- a/src/gateway/connectionSharing.ts
+++ b/src/gateway/connectionSharing.ts
@@ -39,12 +39,12 @@
     { ip, peerPorts, dataCentre, limits, handsOverConnections }: GatewaySettings,
     parts: Pick<ConnectionSharingOptions, "peers" | "load" | "clock" | "random" | "getConfigurationVersion">,
 ): ConnectionSharingOptions {
-    const mostRelayed = Math.floor(limits.maxDescriptors * maxRelayedDescriptorShare);
+    const maxRelayedConnections = Math.floor(limits.maxDescriptors * maxRelayedDescriptorShare);
     return {
         ip,
         port: peerPorts[1],
         dataCentre,
-        maxRelayedConnections: mostRelayed,
+        maxRelayedConnections,
         isEnabled: handsOverConnections,
         ...parts,
     };
@@ -103,8 +103,13 @@
 
     /** Tries to hand the connection over to a neighbour; returns false if this router must serve it. */
     public offer(socket: Socket): boolean {
-        const { peers, load, clock, random, maxRelayedConnections: mostRelayed, isEnabled } = this.options;
-        if (!isEnabled || this.received.has(socket) || this.declined.has(socket) || this.relay.size >= mostRelayed) {
+        const { peers, load, clock, random, maxRelayedConnections, isEnabled } = this.options;
+        if (
+            !isEnabled ||
+            this.received.has(socket) ||
+            this.declined.has(socket) ||
+            this.relay.size >= maxRelayedConnections
+        ) {
             return false;
         }
         const { utilization } = load.loop;
@@ -115,10 +120,10 @@
         }
         this.relay.add(socket, ip, {
             handleHandedOver: () => (this.counts.handedOver += 1),
-            handleUnreachable: unreached => {
+            handleUnreachable: declined => {
                 this.counts.unreached += 1;
-                this.declined.add(unreached);
-                this.serve(unreached);
+                this.declined.add(declined);
+                this.serve(declined);
             },
         });
         return true;
--- a/src/gateway/gatewayDaemon.ts
+++ b/src/gateway/gatewayDaemon.ts
@@ -78,8 +78,8 @@
     private readonly sharing: ConnectionSharing;
     private readonly load: LoadSource;
     private readonly metrics: GatewayMetrics;
-    private readonly handover: SnapshotTransfer;
-    private readonly heldParts: CachedPartsLoader;
+    private readonly snapshotTransfer: SnapshotTransfer;
+    private readonly cachedParts: CachedPartsLoader;
     private readonly quarantine: Quarantine;
     private readonly rollouts: Rollouts;
     private settings: GatewaySettings;
@@ -136,11 +136,11 @@
             sleep: sleepOnTimer,
         };
         const firstTokenModels = new LazyMap(() => new FirstTokenModel());
-        const readingShares = new LazyMap(() => new PrefillShare());
+        const prefillShares = new LazyMap(() => new PrefillShare());
         const grants = createGrants({
             ...common,
             firstTokenModels,
-            prefillShares: readingShares,
+            prefillShares,
             transport: { send: (routerId, message) => this.exchange.send(routerId, message) },
         });
         this.store.add(grants.client);
@@ -198,7 +198,7 @@
                     ),
             ),
             firstTokenModels,
-            prefillShares: readingShares,
+            prefillShares,
             denials: new LazyMap(() => new DenialCache()),
             outputLengths: new LazyMap(() => new OutputLength()),
             idleShares: new LazyMap(() => new IdleShare()),
@@ -220,15 +220,10 @@
         this.metrics = new GatewayMetrics(() =>
             buildStatistics(this.context, source, this.service, this.rollouts, this.sharing),
         );
-        this.handover = this.store.add(
-            new SnapshotTransfer({
-                source,
-                logger,
-                sleep: sleepOnTimer,
-                listAddresses: () => this.listControlAddresses(),
-            }),
+        this.snapshotTransfer = this.store.add(
+            new SnapshotTransfer({ source, logger, sleep: sleepOnTimer, listAddresses: () => this.listControlPeers() }),
         );
-        this.heldParts = this.store.add(new CachedPartsLoader(parts.engines, logger, directory));
+        this.cachedParts = this.store.add(new CachedPartsLoader(parts.engines, logger, directory));
         const requestLog = this.store.add(new RequestLog(logger, clock));
         this.store.add(new AccountSummary(logger, () => listAccounts(this.context, this.service.accounts)));
         this.store.add(directory.onDidReceiveSignal(signal => this.metrics.recordSignal(signal)));
@@ -282,8 +277,8 @@
             const app = createMetricsApp(this.metrics, () => describeState(this.context, source));
             await this.listenAt(app, `${settings.ip}:${settings.metricsPort}`);
         }
-        void this.handover.run();
-        void this.heldParts.loadWhenUsable(source);
+        void this.snapshotTransfer.run();
+        void this.cachedParts.loadWhenUsable(source);
         void this.quarantine.load();
         logger.write("info", "started", { role: "gateway", dataCentre: settings.dataCentre });
     }
@@ -346,7 +341,7 @@
         this.store.add(listener.value);
     }
 
-    private listControlAddresses(): readonly string[] {
+    private listControlPeers(): readonly string[] {
         const { settings } = this;
         const port = settings.control === undefined ? undefined : parseAddress(settings.control)[1];
         const peers = port === undefined ? [] : this.peers.listAddresses().map(ip => `${ip}:${port}`);
--- a/src/gateway/recordRemovalTracker.ts
+++ b/src/gateway/recordRemovalTracker.ts
@@ -30,7 +30,7 @@
 
     /** Handles the removal of a target's record; returns false if the target must be removed at once. */
     public handleRemoval(target: Target): boolean {
-        const { clock, expiryPolicy: expiryPolicy } = this.options;
+        const { clock, expiryPolicy } = this.options;
         const nowMs = clock.nowMs();
         const verdict = expiryPolicy.checkRemoval(nowMs);
         const { keptUntilMs } = verdict;
--- a/src/gateway/targetDirectory.ts
+++ b/src/gateway/targetDirectory.ts
@@ -39,7 +39,7 @@
     private readonly targets = new Map<string, Target>();
     private readonly byService = new Map<string, Target[]>();
     private readonly byHash = new Map<number, Target>();
-    private readonly removedRecords: RecordRemovalTracker;
+    private readonly recordRemovals: RecordRemovalTracker;
     private readonly dataCentresOut = new Set<string>();
     private readonly availabilities = new AvailabilityRegistry();
     private readonly signalEmitter = new Emitter<ReceivedSignal>();
@@ -48,7 +48,7 @@
     public readonly onDidReceiveSignal = this.signalEmitter.onDidFire;
 
     public constructor(private readonly options: TargetDirectoryOptions) {
-        this.removedRecords = new RecordRemovalTracker(options, id => this.remove(id));
+        this.recordRemovals = new RecordRemovalTracker(options, id => this.remove(id));
     }
 
     /** Applies the services of a new configuration. */
@@ -179,7 +179,7 @@
 
     public dispose(): void {
         this.signalEmitter.dispose();
-        this.removedRecords.dispose();
+        this.recordRemovals.dispose();
         for (const target of this.targets.values()) {
             target.dispose();
         }
@@ -221,7 +221,7 @@
         }
         const existing = this.targets.get(id);
         if (entry === undefined) {
-            if (existing !== undefined && !this.removedRecords.handleRemoval(existing)) {
+            if (existing !== undefined && !this.recordRemovals.handleRemoval(existing)) {
                 this.remove(id);
             }
             return;
@@ -245,7 +245,7 @@
             this.setCold(existing, this.services.get(entry.service)?.coldStartMs ?? 0);
         }
         existing.applyEntry(entry);
-        this.removedRecords.clear(existing);
+        this.recordRemovals.clear(existing);
         this.setCold(existing, entry.coldLeftMs);
         this.observeRecord(existing);
     }
@@ -323,7 +323,7 @@
         target.dispose();
         const { removal, entry } = target;
         const removedForMs = removal === undefined ? 0 : Math.round(this.options.clock.nowMs() - removal.atMs);
-        this.removedRecords.clear(target);
+        this.recordRemovals.clear(target);
         this.options.logger.write("info", "a target is gone", { target: id, service: entry.service, removedForMs });
     }
 }
--- a/test/gateway/sharedConnections.test.ts
+++ b/test/gateway/sharedConnections.test.ts
@@ -79,9 +79,9 @@
         await fixture.current.addTarget("engines", "engine-1");
         await startRouters();
         const response = await sendOnNewConnection({ path: "/once/", headers: createPromptHeaders("a1"), body: "b" });
-        expect({ events: response.body.split("\n\n").length - 1, isBroken: response.isIncomplete }).toEqual({
+        expect({ events: response.body.split("\n\n").length - 1, isIncomplete: response.isIncomplete }).toEqual({
             events: 5,
-            isBroken: false,
+            isIncomplete: false,
         });
         expect(readShared(1)).toMatchObject({ received: 1 });
     });
@@ -122,12 +122,12 @@
         await startRouters();
         const headers = { "x-lynxarch-attempt-id": "a1" };
         const outcome = sendOnNewConnection({ path: "/book/", headers }).then(
-            ({ isIncomplete: isBroken }) => (isBroken ? "broken" : "answered"),
+            ({ isIncomplete }) => (isIncomplete ? "incomplete" : "completed"),
             () => "closed",
         );
         await waitUntil(() => target.received.length === 1);
         fixture.current.routers[1].daemon.dispose();
-        expect(await outcome).not.toBe("answered");
+        expect(await outcome).not.toBe("completed");
         expect(target.received.length).toBe(1);
     });
 
--- a/test/gateway/targetRecords/departures.property.test.ts
+++ b/test/gateway/targetRecords/departures.property.test.ts
@@ -88,37 +88,37 @@
 /** Targets that could receive requests after the time limit on draining, with the times. */
 async function listBreaches({ disturbances, departures, bounds, seed: random }: Plan): Promise<readonly string[]> {
     const { drainMs, contactMs } = bounds;
-    const scene = new TargetRecordsFixture(drainMs, contactMs, random);
+    const fixture = new TargetRecordsFixture(drainMs, contactMs, random);
     const schedule = new StoreSchedule(disturbances);
     const breaches = new Set<string>();
-    departures.forEach((...[, index]) => scene.writeRecord(`target-${index + 1}`));
-    scene.start();
+    departures.forEach((...[, index]) => fixture.writeRecord(`target-${index + 1}`));
+    fixture.start();
     for (let nowMs = 0; nowMs < durationMs; nowMs += tickMs) {
-        scene.store.condition = schedule.findCondition(nowMs);
+        fixture.store.condition = schedule.findCondition(nowMs);
         for (const [index, { atMs, how, dropsHistory }] of departures.entries()) {
             const id = `target-${index + 1}`;
             if (atMs >= nowMs && atMs < nowMs + tickMs) {
-                writeLeaving(scene, id, how, dropsHistory);
+                writeLeaving(fixture, id, how, dropsHistory);
             }
             const isLimitOver = nowMs > atMs + tickMs + drainMs && schedule.isStable(atMs, contactMs);
-            if (isLimitOver && schedule.isStable(nowMs, contactMs) && scene.isOpen(id)) {
+            if (isLimitOver && schedule.isStable(nowMs, contactMs) && fixture.isOpen(id)) {
                 breaches.add(`${id} ${how} at ${atMs}, open at ${nowMs}`);
             }
         }
-        await scene.advance(tickMs);
+        await fixture.advance(tickMs);
     }
-    scene.dispose();
+    fixture.dispose();
     return [...breaches];
 }
 
-function writeLeaving(scene: TargetRecordsFixture, id: string, how: Departure["how"], dropsHistory: boolean): void {
+function writeLeaving(fixture: TargetRecordsFixture, id: string, how: Departure["how"], dropsHistory: boolean): void {
     if (how === "removed") {
-        scene.removeRecord(id);
+        fixture.removeRecord(id);
     } else {
-        scene.writeRecord(id, "draining");
+        fixture.writeRecord(id, "draining");
     }
     if (dropsHistory) {
-        scene.removeHistory();
+        fixture.removeHistory();
     }
 }
 
--- a/test/gateway/targetRecords/departures.test.ts
+++ b/test/gateway/targetRecords/departures.test.ts
@@ -2,7 +2,7 @@
 import type { SimulatedCondition } from "../../fakes/usersPlatform/simulatedStore.js";
 import { TargetRecordsFixture } from "./targetRecordsFixture.js";
 
-const scene = { current: new TargetRecordsFixture() };
+const fixture = { current: new TargetRecordsFixture() };
 const undisturbedMs = 10_000;
 /** A record expires after three missed heartbeats; milliseconds. */
 const expiryMs = 3_600;
@@ -13,50 +13,50 @@
 const offsetsMs = [0, 1, 5, 10, 50, 250, 500, 750, 990];
 
 beforeEach(async () => {
-    scene.current.dispose();
-    scene.current = new TargetRecordsFixture();
-    scene.current.start();
-    await scene.current.advance(undisturbedMs);
+    fixture.current.dispose();
+    fixture.current = new TargetRecordsFixture();
+    fixture.current.start();
+    await fixture.current.advance(undisturbedMs);
 });
 
-afterEach(() => scene.current.dispose());
+afterEach(() => fixture.current.dispose());
 
 /** Maximum time that a target stays open after it left, over all of the offsets at which it may leave. */
 async function measureMaxOpenMs(leave: (id: string) => Promise<void>, offsets = offsetsMs): Promise<number> {
     let maxOpenMs = 0;
     for (const [index, offsetMs] of offsets.entries()) {
         const id = `target-${index + 1}`;
-        scene.current.writeRecord(id);
-        await scene.current.advance(undisturbedMs);
-        await scene.current.advanceToRead(offsetMs);
-        expect(scene.current.isOpen(id)).toBe(true);
-        const startedAtMs = scene.current.nowMs;
+        fixture.current.writeRecord(id);
+        await fixture.current.advance(undisturbedMs);
+        await fixture.current.advanceToRead(offsetMs);
+        expect(fixture.current.isOpen(id)).toBe(true);
+        const startedAtMs = fixture.current.nowMs;
         await leave(id);
-        const spentMs = scene.current.nowMs - startedAtMs;
-        maxOpenMs = Math.max(maxOpenMs, spentMs + (await scene.current.measureOpenMs(id)));
+        const spentMs = fixture.current.nowMs - startedAtMs;
+        maxOpenMs = Math.max(maxOpenMs, spentMs + (await fixture.current.measureOpenMs(id)));
     }
     return maxOpenMs;
 }
 
 async function setFor(condition: SimulatedCondition, forMs: number): Promise<void> {
-    scene.current.store.condition = condition;
-    await scene.current.advance(forMs);
-    scene.current.store.condition = "up";
+    fixture.current.store.condition = condition;
+    await fixture.current.advance(forMs);
+    fixture.current.store.condition = "up";
 }
 
 describe("a target whose record is removed receives nothing once the time limit on draining is over", () => {
     it("in undisturbed operation", async () => {
-        const maxOpenMs = await measureMaxOpenMs(id => Promise.resolve(scene.current.removeRecord(id)));
-        expect(maxOpenMs).toBeLessThanOrEqual(scene.current.drainMs);
+        const maxOpenMs = await measureMaxOpenMs(id => Promise.resolve(fixture.current.removeRecord(id)));
+        expect(maxOpenMs).toBeLessThanOrEqual(fixture.current.drainMs);
     });
 
     // A throttled call is no evidence that records may have expired.
     it("although a call was throttled just before", async () => {
         const maxOpenMs = await measureMaxOpenMs(async id => {
             await setFor("throttling", 1_000);
-            scene.current.removeRecord(id);
+            fixture.current.removeRecord(id);
         });
-        expect(maxOpenMs - 1_000).toBeLessThanOrEqual(scene.current.drainMs);
+        expect(maxOpenMs - 1_000).toBeLessThanOrEqual(fixture.current.drainMs);
     });
 
     // A hanging call is detected seconds after the store has recovered; a removal after that would be treated as an expiry.
@@ -69,10 +69,10 @@
         for (const outageMs of [300, 1_000, 2_500, 4_000]) {
             const maxOpenMs = await measureMaxOpenMs(async id => {
                 await setFor(condition, outageMs);
-                await scene.current.advance(scene.current.contactMs);
-                scene.current.removeRecord(id);
+                await fixture.current.advance(fixture.current.contactMs);
+                fixture.current.removeRecord(id);
             });
-            expect(maxOpenMs - outageMs - scene.current.contactMs).toBeLessThanOrEqual(scene.current.drainMs);
+            expect(maxOpenMs - outageMs - fixture.current.contactMs).toBeLessThanOrEqual(fixture.current.drainMs);
         }
     }
 });
@@ -80,9 +80,9 @@
 describe.each(["removed", "draining"] as const)("a leaving target whose record is %s", how => {
     function writeLeaving(id: string): void {
         if (how === "removed") {
-            scene.current.removeRecord(id);
+            fixture.current.removeRecord(id);
         } else {
-            scene.current.writeRecord(id, "draining");
+            fixture.current.writeRecord(id, "draining");
         }
     }
 
@@ -90,10 +90,10 @@
     it("receives nothing once the time limit is over although history was dropped before it was read", async () => {
         const maxOpenMs = await measureMaxOpenMs(id => {
             writeLeaving(id);
-            scene.current.removeHistory();
+            fixture.current.removeHistory();
             return Promise.resolve();
         });
-        expect(maxOpenMs).toBeLessThanOrEqual(scene.current.drainMs);
+        expect(maxOpenMs).toBeLessThanOrEqual(fixture.current.drainMs);
     });
 
     // The wait for the next read, the lost call and the pause before the repeated read add up.
@@ -102,12 +102,12 @@
             writeLeaving(id);
             await setFor("losing", maxPeriodMs);
         });
-        expect(maxOpenMs).toBeLessThanOrEqual(scene.current.drainMs);
+        expect(maxOpenMs).toBeLessThanOrEqual(fixture.current.drainMs);
     });
 
     // Reads wait while nothing else is written; a waiting read that the store doesn't complete must time out early enough.
     it("receives nothing once the time limit is over although a waiting read is not completed", async () => {
-        scene.current.stopHeartbeats();
+        fixture.current.stopHeartbeats();
         const maxOpenMs = await measureMaxOpenMs(
             async id => {
                 writeLeaving(id);
@@ -115,7 +115,7 @@
             },
             [...offsetsMs, 1_003, 1_010, 1_050, 1_090],
         );
-        expect(maxOpenMs).toBeLessThanOrEqual(scene.current.drainMs);
+        expect(maxOpenMs).toBeLessThanOrEqual(fixture.current.drainMs);
     });
 });
 
@@ -124,7 +124,7 @@
 
     // The read that waits for the order is not completed. If that is detected late, a configuration would not be in force in time.
     it("is in force in time although one read hangs", async () => {
-        const { current } = scene;
+        const { current } = fixture;
         for (const offsetMs of offsetsMs) {
             await current.advance(undisturbedMs + offsetMs);
             const writtenAtMs = current.nowMs;
@@ -139,7 +139,7 @@
 describe("a target that left before the store was restored from an older copy", () => {
     // The copy contains the target's record as ready until the record expires. Treated as a new target, it would receive requests again.
     it("receives no more requests", async () => {
-        const { current } = scene;
+        const { current } = fixture;
         current.writeRecord("target-1");
         await current.advance(undisturbedMs);
         const copy = current.takeCopy();
@@ -151,7 +151,7 @@
     });
 
     it("receives requests if it is running and its record stays", async () => {
-        const { current } = scene;
+        const { current } = fixture;
         current.writeRecord("target-1");
         await current.advance(undisturbedMs);
         const copy = current.takeCopy();
