--- a/src/gateway/connectionRelay.ts
+++ b/src/gateway/connectionRelay.ts
@@ -22,7 +22,7 @@
  * within these iterations, and the request is not forwarded: its response would have no recipient.
  */
 const iterationsUntilClose = 3;
-/** A caller's connection without data for this time is closed, as an HTTP server does on its header timeout; milliseconds. */
+/** Before a handover, a caller's connection without data for this time is closed, like on an HTTP server's header timeout; milliseconds. */
 const firstBytesTimeoutMs = 3_000;
 /** Maximum bytes read from a caller before the neighbour accepts; further data stays in the kernel's buffer. */
 const maxBufferedBytes = 65_536;
--- a/src/gateway/connectionSharing.ts
+++ b/src/gateway/connectionSharing.ts
@@ -120,10 +120,10 @@
         }
         this.relay.add(socket, ip, {
             handleHandedOver: () => (this.counts.handedOver += 1),
-            handleUnreachable: declined => {
+            handleUnreachable: declinedSocket => {
                 this.counts.unreached += 1;
-                this.declined.add(declined);
-                this.serve(declined);
+                this.declined.add(declinedSocket);
+                this.serve(declinedSocket);
             },
         });
         return true;
--- a/test/gateway/targetRecords/departures.test.ts
+++ b/test/gateway/targetRecords/departures.test.ts
@@ -7,7 +7,7 @@
 /** A record expires after three missed heartbeats; milliseconds. */
 const expiryMs = 3_600;
 const stallMs = 1_000;
-/** Less than two read periods, so that exactly one read of the targets starts within this time; milliseconds. */
+/** Between one and two read periods, so that a read of the targets starts within this time; milliseconds. */
 const maxPeriodMs = 1_050;
 /** Offsets at which a target leaves within one read period, in milliseconds; the worst case is directly after a read. */
 const offsetsMs = [0, 1, 5, 10, 50, 250, 500, 750, 990];
