--- a/src/gateway/accountSummary.ts
+++ b/src/gateway/accountSummary.ts
@@ -3,22 +3,22 @@
 import { StageCounts } from "./accountStatistics.js";
 import type { AccountSnapshot } from "./accountMetrics.js";
 
-const spanMs = 1_000;
-/** Accounts that a line names. */
-const mostAccounts = 5;
+const intervalMs = 1_000;
+/** Maximum number of accounts named in one line. */
+const maxAccounts = 5;
 
 interface RefusedAccount extends AccountSnapshot {
-    /** Within the span. */
+    /** Increase within the last interval. */
     readonly counts: StageCounts;
     readonly refused: number;
 }
 
 /**
- * Writes a line each second in which requests of accounts were refused: what became of the requests of the most refused
- * accounts. Lines of single requests are limited in rate, and of an account with few requests none may be left.
+ * Logs a line for each second in which requests of accounts were refused, with the stages that the requests of the most refused
+ * accounts reached. Log lines of single requests are rate limited, so an account with few requests may not appear in any of them.
  */
 export class AccountSummary implements Disposable {
-    private readonly timer = setInterval(() => this.write(), spanMs);
+    private readonly timer = setInterval(() => this.write(), intervalMs);
     private readonly before = new Map<string, StageCounts>();
 
     public constructor(
@@ -34,20 +34,20 @@
         const refused = this.takeRefused().sort((a, b) => b.refused - a.refused);
         if (refused.length > 0) {
             this.logger.write("info", "accounts with refused requests", {
-                accounts: refused.slice(0, mostAccounts).map(formatAccount).join("; "),
-                others: Math.max(0, refused.length - mostAccounts),
+                accounts: refused.slice(0, maxAccounts).map(formatAccount).join("; "),
+                others: Math.max(0, refused.length - maxAccounts),
             });
         }
     }
 
     private takeRefused(): RefusedAccount[] {
         const refused: RefusedAccount[] = [];
-        for (const reading of this.listAccounts()) {
-            const { account, counts } = reading;
+        for (const snapshot of this.listAccounts()) {
+            const { account, counts } = snapshot;
             const before = this.before.get(account) ?? new StageCounts();
             const count = counts.countRefused() - before.countRefused();
             if (count > 0) {
-                refused.push({ ...reading, counts: counts.createDifference(before), refused: count });
+                refused.push({ ...snapshot, counts: counts.createDifference(before), refused: count });
             }
             before.setAll(counts);
             this.before.set(account, before);
@@ -56,8 +56,8 @@
     }
 }
 
-function formatAccount({ account, counts, refused, computeUsage: computeUse }: RefusedAccount): string {
-    const use = computeUse();
+function formatAccount({ account, counts, refused, computeUsage }: RefusedAccount): string {
+    const usage = computeUsage();
     const shed = counts.getRequests("shed");
     const fields = [
         `read=${counts.getRequests("read")}`,
@@ -67,7 +67,7 @@
         `begun=${counts.getRequests("begun")}`,
         `askedTokens=${Math.round(counts.getTokens("read"))}`,
         `begunTokens=${Math.round(counts.getTokens("begun"))}`,
-        ...(use === undefined ? [] : [`share=${use.share.toFixed(2)}`, `surplus=${use.surplus.toFixed(2)}`]),
+        ...(usage === undefined ? [] : [`share=${usage.share.toFixed(2)}`, `surplus=${usage.surplus.toFixed(2)}`]),
     ];
     return [account, ...fields].join(" ");
 }
--- a/src/gateway/gatewayMetrics.ts
+++ b/src/gateway/gatewayMetrics.ts
@@ -9,23 +9,23 @@
 import type { ReceivedSignal } from "./targetDirectory.js";
 
 const msPerSecond = 1_000;
-/** Around usual objectives of a fraction of a second, and up to usual timeouts; seconds. */
+/** Cover usual latency objectives of a fraction of a second, and usual timeouts at the upper end; seconds. */
 const secondsBuckets = [0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 0.8, 1.2, 2, 4, 8];
 
-/** Figures that are read when they are asked for. */
+/** Current values for the gauges, collected whenever the metrics page is rendered. */
 export interface GatewayStatistics {
     readonly openRequests: number;
     readonly configurationVersion: number;
     readonly isPlatformConnected: boolean;
-    /** Age of what is known of targets; undefined before the first read. Milliseconds. */
+    /** Age of the last read that covers all targets' records; undefined before the first read. Milliseconds. */
     readonly targetsViewAgeMs: number | undefined;
     readonly storeReads: readonly StoreReadCount[];
     readonly peers: number;
-    /** Bytes of the newest message to the other routers, and milliseconds until the next. */
+    /** Size in bytes of the newest message to the other routers, and milliseconds between messages. */
     readonly peerRound: { readonly messageBytes: number; readonly periodMs: number };
-    /** Requests that are held because targets crashed under them. */
+    /** Requests that are held because targets crashed while executing them. */
     readonly heldRequests: number;
-    /** Targets of each service by state. */
+    /** Number of targets by service and state. */
     readonly targets: readonly { readonly service: string; readonly state: string; readonly count: number }[];
     readonly rollouts: readonly RolloutView[];
     readonly sharedConnections: SharedConnectionCounts;
@@ -34,9 +34,9 @@
 }
 
 /**
- * Counters and histograms as text for Prometheus. Labels are services and outcomes, a few values each; a label with
- * request ids or routes would grow without bound, and accounts beyond a number are counted together. Counters come first:
- * collectors that cut long pages keep them.
+ * Metrics in the Prometheus text format. Labels have few values, such as services and outcomes: labels with request ids or routes
+ * would grow without bound, and accounts beyond a limit are counted together. Counters come first, so that collectors that truncate
+ * long pages keep them.
  */
 export class GatewayMetrics {
     private readonly registry = new Registry();
@@ -46,40 +46,40 @@
         labelNames: ["service", "outcome", "reason"],
         registers: [this.registry],
     });
-    private readonly owners = new Counter({
+    private readonly ownerReplies = new Counter({
         name: "lynxarch_owner_answers_total",
-        help: "Grants that owners of engines were asked for, by whether they answered.",
+        help: "Grant requests to owners of engines, by whether the owner replied.",
         labelNames: ["outcome"],
         registers: [this.registry],
     });
     private readonly attempts = new Counter({
         name: "lynxarch_attempts_total",
-        help: "Sends to targets, by service.",
+        help: "Attempts: requests sent to targets, by service.",
         labelNames: ["service"],
         registers: [this.registry],
     });
     private readonly signals = new Counter({
         name: "lynxarch_target_signals_total",
-        help: "Answers in which targets said that they are leaving or want no requests for a time, by service and signal.",
+        help: "Responses in which targets reported that they are leaving or asked for a pause in requests, by service and signal.",
         labelNames: ["service", "signal"],
         registers: [this.registry],
     });
     private readonly timeliness = new Counter({
         name: "lynxarch_answers_total",
-        help: "Answers that were whole, by service and whether they kept the route's objectives.",
+        help: "Complete responses, by service and whether they met the route's objectives.",
         labelNames: ["service", "timeliness"],
         registers: [this.registry],
     });
     private readonly promptTokens = new Counter({
         name: "lynxarch_prompt_tokens_total",
-        help: "Prompt tokens of answered requests, by service and whether the target had to read them or copied them.",
+        help: "Prompt tokens of completed requests, by service and whether the target prefilled or copied them.",
         labelNames: ["service", "source"],
         registers: [this.registry],
     });
     private readonly accounts = new AccountMetrics(this.registry);
-    private readonly sumsAge = new Histogram({
+    private readonly totalsAge = new Histogram({
         name: "lynxarch_account_sums_age_seconds",
-        help: "Mean age of the other routers' account sums when a prompt's share was checked.",
+        help: "Mean age of the other routers' account totals when a prompt's share was checked.",
         buckets: secondsBuckets,
         registers: [this.registry],
     });
@@ -92,118 +92,132 @@
     });
     private readonly longestPause = new Histogram({
         name: "lynxarch_longest_pause_seconds",
-        help: "Longest pause between two outputs of an answer.",
+        help: "Longest pause between two outputs of a response.",
         labelNames: ["service"],
         buckets: secondsBuckets,
         registers: [this.registry],
     });
     private readonly duration = new Histogram({
         name: "lynxarch_request_duration_seconds",
-        help: "Time from a request's arrival to the end of its answer.",
+        help: "Time from a request's arrival to the end of its response.",
         labelNames: ["service", "outcome"],
         buckets: secondsBuckets,
         registers: [this.registry],
     });
 
-    public constructor(private readonly getFigures: () => GatewayStatistics) {
+    public constructor(private readonly getStatistics: () => GatewayStatistics) {
         const registers = [this.registry];
-        const addGauge = (name: string, help: string, read: (figures: GatewayStatistics) => number): void => {
+        const addGauge = (name: string, help: string, select: (statistics: GatewayStatistics) => number): void => {
             new Gauge({
                 name,
                 help,
                 registers,
                 collect(): void {
-                    this.set(read(getFigures()));
+                    this.set(select(getStatistics()));
                 },
             });
         };
-        addGauge("lynxarch_open_requests", "Requests without a final answer.", figures => figures.openRequests);
+        addGauge("lynxarch_open_requests", "Requests that have not ended.", statistics => statistics.openRequests);
         addGauge(
             "lynxarch_configuration_version",
             "Version of the configuration in force; 0 before the first.",
-            figures => figures.configurationVersion,
+            statistics => statistics.configurationVersion,
         );
-        addGauge("lynxarch_platform_connected", "1 while the last call to the platform succeeded.", figures =>
-            figures.isPlatformConnected ? 1 : 0,
+        addGauge("lynxarch_platform_connected", "1 while the last call to the platform succeeded.", statistics =>
+            statistics.isPlatformConnected ? 1 : 0,
         );
         addGauge(
             "lynxarch_targets_view_age_seconds",
-            "Time since which changes of targets in the platform's store may be unknown here; NaN before the first read.",
+            "Age of this router's view of the targets in the platform's store; NaN before the first read.",
             ({ targetsViewAgeMs }) => (targetsViewAgeMs === undefined ? Number.NaN : targetsViewAgeMs / msPerSecond),
         );
         new Gauge({
             name: "lynxarch_store_reads",
-            help: "Reads of the platform's records since the start, by whose records and how they ended.",
+            help: "Reads of the platform's records since the start, by kind of records and outcome.",
             labelNames: ["records", "outcome"],
             registers,
             collect(): void {
-                for (const { records, outcome, count } of getFigures().storeReads) {
+                for (const { records, outcome, count } of getStatistics().storeReads) {
                     this.set({ records, outcome }, count);
                 }
             },
         });
-        addGauge("lynxarch_held_requests", "Requests that are held because targets crashed under them.", figures => {
-            return figures.heldRequests;
-        });
+        addGauge(
+            "lynxarch_held_requests",
+            "Requests that are held because targets crashed while executing them.",
+            statistics => {
+                return statistics.heldRequests;
+            },
+        );
         new Gauge({
             name: "lynxarch_shared_connections",
-            help: "Callers' connections since the start: handed over to neighbours, received, or kept as none could be reached.",
+            help: "Callers' connections since the start: handed over to neighbours, received from them, or declined by them.",
             labelNames: ["outcome"],
             registers,
             collect(): void {
-                const { handedOver, received, unreached } = getFigures().sharedConnections;
+                const { handedOver, received, unreached } = getStatistics().sharedConnections;
                 this.set({ outcome: "handed-over" }, handedOver);
                 this.set({ outcome: "received" }, received);
                 this.set({ outcome: "unreached" }, unreached);
             },
         });
-        addGauge("lynxarch_peers", "Other routers with a recent message.", figures => figures.peers);
-        addGauge("lynxarch_peer_message_bytes", "Size of the newest message to other routers.", figures => {
-            return figures.peerRound.messageBytes;
-        });
-        addGauge("lynxarch_peer_round_seconds", "Time from one message to other routers to the next.", figures => {
-            return figures.peerRound.periodMs / msPerSecond;
+        addGauge(
+            "lynxarch_peers",
+            "Other routers from which a message was received recently.",
+            statistics => statistics.peers,
+        );
+        addGauge("lynxarch_peer_message_bytes", "Size of the newest message to other routers.", statistics => {
+            return statistics.peerRound.messageBytes;
         });
-        addGauge("lynxarch_shed_share", "Part of new requests that the router refuses unexamined, 0 to 1.", figures => {
-            return figures.load.shedShare;
+        addGauge("lynxarch_peer_round_seconds", "Period of messages to other routers.", statistics => {
+            return statistics.peerRound.periodMs / msPerSecond;
         });
+        addGauge(
+            "lynxarch_shed_share",
+            "Fraction of new requests that the router refuses without reading them, 0 to 1.",
+            statistics => {
+                return statistics.load.shedShare;
+            },
+        );
         addGauge(
             "lynxarch_loop_utilization",
-            "Part of the time in which the event loop is busy, smoothed.",
-            figures => {
-                return figures.load.loop.utilization;
+            "Fraction of time in which the event loop is busy, smoothed.",
+            statistics => {
+                return statistics.load.loop.utilization;
             },
         );
-        addGauge("lynxarch_loop_delay_seconds", "By how much timers of the event loop are late, smoothed.", figures => {
-            return figures.load.loop.delayMs / msPerSecond;
+        addGauge("lynxarch_loop_delay_seconds", "Delay of event loop timers, smoothed.", statistics => {
+            return statistics.load.loop.delayMs / msPerSecond;
         });
         new Gauge({
             name: "lynxarch_targets",
-            help: "Targets that are known, by service and state.",
+            help: "Targets known to this router, by service and state.",
             labelNames: ["service", "state"],
             registers,
             collect(): void {
                 this.reset();
-                for (const { service, state, count } of getFigures().targets) {
+                for (const { service, state, count } of getStatistics().targets) {
                     this.set({ service, state }, count);
                 }
             },
         });
-        new RolloutMetrics(this.registry, () => this.getFigures().rollouts);
+        new RolloutMetrics(this.registry, () => this.getStatistics().rollouts);
     }
 
+    /** Content type of the rendered metrics. */
     public get contentType(): string {
         return this.registry.contentType;
     }
 
+    /** Counts a request that ended. */
     public recordEnd({ tookMs, end }: EndedRequest): void {
         const service = end.service ?? "none";
-        const isOwnReason = end.outcome === "refused";
-        this.requests.inc({ service, outcome: end.outcome, reason: isOwnReason ? end.reason : "" });
+        const isRefused = end.outcome === "refused";
+        this.requests.inc({ service, outcome: end.outcome, reason: isRefused ? end.reason : "" });
         this.attempts.inc({ service }, end.attempts ?? 0);
         this.duration.observe({ service, outcome: end.outcome }, tookMs / msPerSecond);
-        this.owners.inc({ outcome: "answered" }, (end.ownersAsked ?? 0) - (end.ownersSilent ?? 0));
-        this.owners.inc({ outcome: "silent" }, end.ownersSilent ?? 0);
+        this.ownerReplies.inc({ outcome: "answered" }, (end.ownersAsked ?? 0) - (end.ownersSilent ?? 0));
+        this.ownerReplies.inc({ outcome: "silent" }, end.ownersSilent ?? 0);
         this.recordShare(end);
         if (end.firstOutputMs !== undefined) {
             this.firstOutput.observe({ service }, end.firstOutputMs / msPerSecond);
@@ -216,19 +230,20 @@
         }
     }
 
+    /** Counts a signal that a target sent in a response. */
     public recordSignal({ service, kind }: ReceivedSignal): void {
         this.signals.inc({ service, signal: kind });
     }
 
-    /** All figures as text. */
+    /** All metrics in the Prometheus text format. */
     public render(): Promise<string> {
-        this.accounts.update(this.getFigures().listAccounts());
+        this.accounts.update(this.getStatistics().listAccounts());
         return this.registry.metrics();
     }
 
     private recordShare({ askedTokens = 0, shareUse }: EndedRequest["end"]): void {
         if (askedTokens > 0 && shareUse !== undefined) {
-            this.sumsAge.observe(shareUse.sumsAgeMs / msPerSecond);
+            this.totalsAge.observe(shareUse.sumsAgeMs / msPerSecond);
         }
     }
 }
