--- a/src/decisions/admission/acceptQueue.ts
+++ b/src/decisions/admission/acceptQueue.ts
@@ -1,20 +1,20 @@
 /**
- * How many connections wait to be accepted by a router.
+ * Length of a router's accept queue (the `listen` backlog).
  *
- * Load pattern: more connections reach a router than it can read. They are accepted in order of arrival, so that with a long queue each
- * request lies unread until its caller has left: the router is busy and serves nobody, for as long as the load lasts. With a
- * queue that is read within a part of usual objectives, what is read can still be served, and the callers of further
- * connections find at once that they get none.
+ * Load pattern: more connections reach a router than it can read. The kernel queues them in order of arrival, so with a long queue every
+ * request is read only after its caller has timed out: the router is saturated and serves no request for as long as the load lasts. The
+ * queue is therefore short enough to be read within a fraction of the usual latency objectives. Requests that are read can
+ * then still be served in time, and further connections are refused immediately.
  */
 
-/** Within this time the queue is read by a router that does nothing else; milliseconds. */
-const mostReadingMs = 150;
-/** Processor time of reading one request on a new connection; milliseconds of a whole core. */
-const readMs = 1.4;
-/** Callers connect in bursts, also to a router that keeps up. */
-const leastBacklog = 24;
+/** Time in which a router that does no other work reads a full accept queue; milliseconds. */
+const maxQueueReadMs = 150;
+/** Processor time to read one request from a new connection; milliseconds of a full core. */
+const requestReadMs = 1.4;
+/** Lower bound of the queue length: callers connect in bursts even when the router is not overloaded. */
+const minBacklog = 24;
 
-/** Connections that wait to be accepted at most; the kernel refuses further ones. `processorShare`: part of a core. */
+/** Maximum number of connections waiting to be accepted; the kernel refuses further ones. `processorShare`: fraction of a core. */
 export function computeAcceptBacklog(processorShare: number): number {
-    return Math.max(leastBacklog, Math.round((mostReadingMs / readMs) * processorShare));
+    return Math.max(minBacklog, Math.round((maxQueueReadMs / requestReadMs) * processorShare));
 }
--- a/src/decisions/admission/admission.ts
+++ b/src/decisions/admission/admission.ts
@@ -1,17 +1,18 @@
 /**
- * Admission: which request may wait at a router, and which is turned away at once.
+ * Admission control of a router: decides whether a request may be queued or is refused immediately.
  *
- * Load pattern: saturation and a flood by one account. Without it a queue grows until everything in it is late: callers
- * time out, their work runs for nobody, and one account's flood fills the memory that others need.
+ * Load pattern: saturation, and overload by a single account. Without admission control the queue grows until every request in it is
+ * late: callers time out, targets execute requests whose response is no longer needed, and one account's requests fill the memory that
+ * other accounts need.
  *
- * Thresholds: an account's queue is bounded by a dynamic threshold (Choudhury and Hahne, 1998): a multiple of the space
- * that is still free. A single flooding account therefore leaves at least 1 / (1 + multiple) of the total free, and n
- * flooding accounts leave 1 / (1 + n x multiple), without anybody setting space aside that is never used. The multiple
- * grows with the account's weight, as a heavier account drains faster and so waits no longer behind a longer queue.
+ * Thresholds: an account's queue is bounded by a dynamic threshold (Choudhury and Hahne, 1998): a multiple of the queue capacity
+ * that is still free. A single overloading account therefore leaves at least 1 / (1 + multiple) of the total free, and n
+ * such accounts leave 1 / (1 + n x multiple), without reserving capacity that may never be used. The multiple
+ * grows with the account's weight: a heavier account's queue drains faster, so a longer queue doesn't mean a longer wait.
  */
 import { err, ok, type Result } from "neverthrow";
 
-/** Bounds that the document sets. */
+/** Limits from the configuration document. */
 export interface AdmissionLimits {
     /** Waiting requests over all accounts. */
     readonly maxWaitingTotal: number;
@@ -21,42 +22,42 @@
     readonly maxOpen: number;
 }
 
-/** What the router knows when a request arrives. */
+/** State of the router's queues when a request arrives. */
 export interface AdmissionView {
     readonly waitingTotal: number;
     readonly waitingOfAccount: number;
     readonly openOfAccount: number;
-    /** The account's weight over the mean weight of all accounts. */
+    /** The account's weight divided by the mean weight of all accounts. */
     readonly relativeWeight: number;
-    /** How long the account's queue takes to drain; undefined when nothing was measured yet. */
+    /** Time in which the account's queue is expected to drain; undefined before the drain rate has been measured. */
     readonly expectedWaitMs: number | undefined;
-    /** Time left until the caller's deadline. */
+    /** Time remaining until the caller's deadline. */
     readonly remainingMs: number;
 }
 
-/** Why a request may not wait, and when to come back. */
+/** Why a request is not queued, and after which time the caller should retry. */
 export interface AdmissionRefusal {
     readonly reason: "queue-full" | "account-queue-full" | "deadline";
     readonly retryAfterMs: number;
 }
 
-/** A caller that comes back earlier than this only adds load. */
+/** Lower bound of the retry delay: earlier retries only add load. */
 export const minRetryAfterMs = 1_000;
-/** A caller told to wait longer than this would rather go elsewhere. */
+/** Upper bound of the retry delay: a caller that has to wait longer is better served by another service. */
 export const maxRetryAfterMs = 60_000;
 
-/** Share of the free space that one account of mean weight or less may take. */
-const thresholdMultiple = 1;
-/** The heaviest account's multiple; it still leaves a ninth of the total to all others. */
+/** Queue limit of an account of mean weight or less, as a multiple of the free queue capacity. */
+const minThresholdMultiple = 1;
+/** The same for the heaviest account; it still leaves a ninth of the total queue to all other accounts. */
 const maxThresholdMultiple = 8;
 
-/** Greatest queue that an account may build while `waitingTotal` requests wait; at least one. */
+/** Maximum queue length of one account while `waitingTotal` requests are queued; at least one. */
 export function computeDynamicThreshold(maxWaitingTotal: number, waitingTotal: number, relativeWeight: number): number {
-    const multiple = Math.min(maxThresholdMultiple, Math.max(thresholdMultiple, relativeWeight));
+    const multiple = Math.min(maxThresholdMultiple, Math.max(minThresholdMultiple, relativeWeight));
     return Math.max(1, Math.floor(multiple * (maxWaitingTotal - waitingTotal)));
 }
 
-/** Whether a request may wait. Error: the refusal, which is always "not run". */
+/** Checks whether a request may be queued. The error is the refusal; a refused request has never been executed. */
 export function checkAdmission(view: AdmissionView, limits: AdmissionLimits): Result<"admitted", AdmissionRefusal> {
     const expectedWaitMs = view.expectedWaitMs ?? 0;
     if (view.remainingMs <= 0 || expectedWaitMs > view.remainingMs) {
--- a/src/decisions/admission/backlog.ts
+++ b/src/decisions/admission/backlog.ts
@@ -1,43 +1,43 @@
 /**
- * The router's own backlog: one first-in-first-out queue per lane, and a weighted round over the lanes that can go on.
+ * The router's backlog: one first-in-first-out queue per lane, and a weighted round robin over the lanes that are ready.
  *
- * Load patterns: a flood by one account, and many waiting requests when a target comes back. In one common queue the
- * request at the head whose account has no free place holds up all others (head-of-line blocking), and the account that
- * sends most gets most. Here a lane that can't go on leaves the round until something changes for it, and a long backlog is
- * worked off in portions in which each lane gets turns by its weight (stride scheduling; Waldspurger and Weihl, 1995).
- * Adding, taking and removing cost at most the logarithm of the number of lanes, and nothing per waiting request.
+ * Load patterns: overload by one account, and many waiting requests when a target recovers. In a single shared queue a
+ * request at the head whose account has no free slot blocks all others (head-of-line blocking), and the account that
+ * sends the most requests is served most. Here a blocked lane is taken out of the round robin until its state changes, and a long
+ * backlog is drained in batches in which each lane is scheduled by its weight (stride scheduling; Waldspurger and Weihl, 1995).
+ * Adding, taking and removing a request cost O(log lanes), independent of the number of waiting requests.
  */
 
 import { IndexedHeap } from "../structures/indexedHeap.js";
 
-/** Queues of request ids by lane. */
+/** Queues of request ids, one per lane. */
 export class Backlog {
     private readonly lanes = new Map<string, LaneQueue>();
     private readonly nodes = new Map<string, QueueNode>();
     private readonly ready = new IndexedHeap<LaneQueue>();
-    /** Pass of the lane that went last: a lane that returns starts here and so has no saved-up turns. */
+    /** Pass value of the lane scheduled last. A lane that becomes ready again starts here, so idle time earns it no extra turns. */
     private currentPass = 0;
 
-    /** Requests that wait here. */
+    /** Number of waiting requests in all lanes. */
     public get size(): number {
         return this.nodes.size;
     }
 
-    /** Appends a request to its lane and lets the lane take part in the round. */
+    /** Appends a request to its lane and marks the lane ready. */
     public add(laneKey: string, weight: number, requestId: string): void {
         const lane = this.getLane(laneKey, weight);
         lane.tail.push(this.addNode(lane, requestId));
         this.addReady(lane);
     }
 
-    /** Puts a request at its lane's head: it waited before and came back. */
+    /** Inserts a request at the head of its lane; for requests that were taken before and have to wait again. */
     public addFirst(laneKey: string, weight: number, requestId: string): void {
         const lane = this.getLane(laneKey, weight);
         lane.head.push(this.addNode(lane, requestId));
         this.addReady(lane);
     }
 
-    /** Takes a request out, wherever it stands. */
+    /** Removes a request from any position; does nothing if it is not queued. */
     public remove(requestId: string): void {
         const node = this.nodes.get(requestId);
         if (node === undefined) {
@@ -54,12 +54,12 @@
         }
     }
 
-    /** Requests that wait in a lane. */
+    /** Number of requests waiting in a lane. */
     public count(laneKey: string): number {
         return this.lanes.get(laneKey)?.live ?? 0;
     }
 
-    /** The requests that wait in a lane, the next one first. */
+    /** Ids of the requests waiting in a lane, the next one first. */
     public list(laneKey: string): readonly string[] {
         const lane = this.lanes.get(laneKey);
         if (lane === undefined) {
@@ -69,7 +69,7 @@
         return nodes.filter(node => node.isLive).map(node => node.requestId);
     }
 
-    /** Something changed for a lane: it takes part in the round again. */
+    /** Marks a lane ready after a change that may have unblocked it. */
     public handleLaneChanged(laneKey: string): void {
         const lane = this.lanes.get(laneKey);
         if (lane !== undefined) {
@@ -77,14 +77,14 @@
         }
     }
 
-    /** Something changed for all lanes. */
+    /** Marks all lanes ready after a change that may have unblocked any of them. */
     public handleAllChanged(): void {
         for (const lane of this.lanes.values()) {
             this.addReady(lane);
         }
     }
 
-    /** The request whose turn it is, left in place; undefined when no lane can go on. */
+    /** The next request to schedule, without removing it; undefined if no lane is ready. */
     public findNext(): { readonly laneKey: string; readonly requestId: string } | undefined {
         for (let lane = this.ready.getLeast()?.key; lane !== undefined; lane = this.ready.getLeast()?.key) {
             const requestId = this.findHead(lane);
@@ -96,7 +96,7 @@
         return undefined;
     }
 
-    /** The lane of {@link findNext} used its turn: its head is taken out and its next turn comes by weight. */
+    /** Removes the request that {@link findNext} returns and advances its lane's pass by the inverse of the lane's weight. */
     public takeNext(): void {
         const lane = this.ready.getLeast()?.key;
         const requestId = lane === undefined ? undefined : this.findHead(lane);
@@ -110,7 +110,7 @@
         this.addReady(lane);
     }
 
-    /** The lane of {@link findNext} can't go on until something changes for it. */
+    /** Marks the lane of {@link findNext} as blocked; it becomes ready again when its state changes or a request is added. */
     public stopNext(): void {
         const lane = this.ready.getLeast()?.key;
         if (lane !== undefined) {
@@ -135,7 +135,7 @@
         return node;
     }
 
-    /** The oldest live request; drops entries that were removed on the way. */
+    /** The oldest live request; discards entries of removed requests before it. */
     private findHead(lane: LaneQueue): string | undefined {
         for (let node = lane.head.at(-1); node !== undefined; node = lane.head.at(-1)) {
             if (node.isLive) {
@@ -148,7 +148,7 @@
                 return node.requestId;
             }
             lane.tailStart += 1;
-            if (lane.tailStart > compactFrom && lane.tailStart * 2 > lane.tail.length) {
+            if (lane.tailStart > minCompactedEntries && lane.tailStart * 2 > lane.tail.length) {
                 lane.tail = lane.tail.slice(lane.tailStart);
                 lane.tailStart = 0;
             }
@@ -165,7 +165,7 @@
     }
 }
 
-/** One stay of a request; a request that returns gets a new node, so that its old place doesn't come alive again. */
+/** One queue entry. A request that is queued again gets a new node, so that its old entry doesn't become live again. */
 interface QueueNode {
     readonly requestId: string;
     readonly lane: LaneQueue;
@@ -177,11 +177,11 @@
     weight: number;
     pass: number;
     live: number;
-    /** Requests that came back; the last one is the lane's head. */
+    /** Requests inserted by {@link Backlog.addFirst}; the last element is the lane's head. */
     readonly head: QueueNode[];
     tail: QueueNode[];
     tailStart: number;
 }
 
-/** Entries of a consumed array that are worth copying the rest for. */
-const compactFrom = 64;
+/** Number of consumed entries from which an array is compacted. */
+const minCompactedEntries = 64;
--- a/src/decisions/admission/denialMemory.ts
+++ b/src/decisions/admission/denialMemory.ts
@@ -1,61 +1,70 @@
 /**
- * What owners of engines denied just now, so that they are not asked the same for each request.
+ * Cache of recent denials by engine owners, so that a router doesn't send a grant request for every refused request.
  *
- * Load pattern: an account beyond its share floods, and nearly all of its requests are denied. Asked for each of them, owners and
- * askers spend more processor time on refusing the flood than on serving anybody, and accounts within their share wait for it.
- * Once several owners have denied the account, its requests that may use no more of an engine are refused until the first of
- * these engines has room. Other accounts are not affected: engines may have room for one that has had less there.
+ * Load pattern: an account beyond its share overloads the fleet, and nearly all of its requests are denied. With one grant request for each
+ * of them, owners and requesting routers would spend more processor time on denials than on serving requests, and accounts within
+ * their share would be delayed. Once several owners have denied the account, further requests whose limit on engine usage is no higher
+ * are refused until the first of these engines has capacity. Other accounts are not affected: engines may have capacity for an account
+ * that has been served less there.
  *
- * Each router remembers for itself. Remembered everywhere for the same time, an account at one router asks for a fraction of what an account
- * at all of them does. So the time is in proportion to the routers that the account reaches, and all accounts ask equally often in
- * the fleet. A router that is short of processor time remembers for the whole time.
+ * Each router has its own cache. If all routers cached denials for the same time, an account that connects to one router would cause a
+ * fraction of the grant requests of an account that connects to all of them. The time is therefore proportional to the number
+ * of routers that the account connects to, so that all accounts cause grant requests at the same rate across the fleet. A router short of
+ * processor time caches denials for the maximum time.
  */
 import { LRUCache } from "lru-cache";
 
-/** Longest time that a denial is remembered; engines that were not asked may have room sooner. Milliseconds. */
-const longestMemoryMs = 30;
-/** Utilization from which on a router remembers for longer than the account's reach says, and for the longest time. */
-const remembersFrom = 0.5;
-const remembersAllFrom = 0.9;
-/** Floods are of a few accounts at a time. */
-const mostAccounts = 256;
+/** Maximum time for which a denial is cached: engines whose owners were not asked may have capacity sooner. Milliseconds. */
+const maxCacheMs = 30;
+/** Utilization from which the requesting router's load extends the cache time. */
+const extendedCacheThreshold = 0.5;
+/** Utilization from which denials are cached for the maximum time. */
+const maxCacheThreshold = 0.9;
+/** Maximum number of accounts in the cache; only a few accounts cause an overload at the same time. */
+const maxAccounts = 256;
 
-/** The router that remembers, and how much of the account reaches it. */
+/** Load of the router that requests grants, and the account's traffic on it. */
 export interface DenialAsker {
-    /** Part of the time in which it is busy, 0 to 1. */
+    /** Fraction of time in which the router's event loop is busy, 0 to 1. */
     readonly utilization: number;
-    /** Part of what the account asks the fleet for that it asks this router for, 0 to 1. */
+    /** Fraction of the account's requested tokens in the fleet that were requested from this router, 0 to 1. */
     readonly accountPart: number;
-    /** Routers of the fleet. */
+    /** Number of routers in the fleet. */
     readonly routerCount: number;
 }
-/** An account that asks so many times its even part of a router may still be spread over all: parts are estimates. */
+/** Up to this multiple of an even distribution an account counts as spread over all routers, since fractions are estimates. */
 const spreadTolerance = 2;
 
 interface Denial {
-    readonly mostUse: number;
+    readonly maxUsage: number;
     readonly untilMs: number;
 }
 
-/** Remembers denials of accounts beyond their share at one service. */
+/** Caches denials, within one service, of accounts beyond their share. */
 export class DenialMemory {
-    private readonly denials = new LRUCache<string, Denial>({ max: mostAccounts });
+    private readonly denials = new LRUCache<string, Denial>({ max: maxAccounts });
 
-    /** All engines that a request asked for denied it; `roomMs`: until the first of them has room. */
-    public record(account: string, mostUse: number, roomMs: number, asker: DenialAsker, nowMs: number): void {
-        const memoryMs = Math.min(roomMs, computeMemoryMs(asker));
-        this.denials.set(account, { mostUse, untilMs: nowMs + memoryMs });
+    /**
+     * Records that all owners asked for a request have denied it. `maxUsage`: fraction of an engine's limit that the request may use;
+     * `capacityMs`: time until the first of the engines has capacity.
+     */
+    public record(account: string, maxUsage: number, capacityMs: number, router: DenialAsker, nowMs: number): void {
+        const cacheMs = Math.min(capacityMs, computeCacheMs(router));
+        this.denials.set(account, { maxUsage, untilMs: nowMs + cacheMs });
     }
 
-    /** How long a request that may use so much of an engine is best refused unasked; milliseconds, 0 if it is not. */
-    public computeDeniedMs(account: string, mostUse: number, nowMs: number): number {
+    /** Time for which a request with this usage limit is to be refused without a grant request; milliseconds, 0 if it is not. */
+    public computeDeniedMs(account: string, maxUsage: number, nowMs: number): number {
         const denial = this.denials.get(account);
-        return denial === undefined || mostUse > denial.mostUse ? 0 : Math.max(0, denial.untilMs - nowMs);
+        return denial === undefined || maxUsage > denial.maxUsage ? 0 : Math.max(0, denial.untilMs - nowMs);
     }
 }
 
-function computeMemoryMs({ utilization, accountPart, routerCount }: DenialAsker): number {
-    const busyPart = Math.min(1, Math.max(0, (utilization - remembersFrom) / (remembersAllFrom - remembersFrom)));
-    const reachedPart = Math.min(1, spreadTolerance / Math.max(1, accountPart * routerCount));
-    return longestMemoryMs * Math.max(busyPart, reachedPart);
+function computeCacheMs({ utilization, accountPart, routerCount }: DenialAsker): number {
+    const loadFraction = Math.min(
+        1,
+        Math.max(0, (utilization - extendedCacheThreshold) / (maxCacheThreshold - extendedCacheThreshold)),
+    );
+    const spreadFraction = Math.min(1, spreadTolerance / Math.max(1, accountPart * routerCount));
+    return maxCacheMs * Math.max(loadFraction, spreadFraction);
 }
--- a/src/decisions/admission/drainRate.ts
+++ b/src/decisions/admission/drainRate.ts
@@ -1,34 +1,34 @@
 /**
- * How fast a queue drains, measured only while it holds something.
+ * Drain rate of a queue, measured only while the queue is not empty.
  *
- * Load pattern: saturation after quiet. A plain rate of starts would be near zero after quiet, so that the first burst
- * would look hopeless and be refused; measured over busy time only, it tells what the capacity gives.
- * Threshold: nothing is said before about two seconds of busy time, as a few starts say little; older busy time counts with a
- * time constant of ten seconds, so that a lost data centre shows within seconds.
+ * Load pattern: saturation after an idle period. A plain rate of starts would be near zero after idle time, so that the first burst
+ * would be refused as not servable in time; measured over busy time only, the rate reflects the available capacity.
+ * Thresholds: no estimate before about two seconds of busy time, as a few starts are not significant; older busy time decays with a
+ * time constant of ten seconds, so that the loss of a data centre changes the estimate within seconds.
  */
 export class DrainRate {
     private starts = 0;
     private busyMs = 0;
     private busySinceMs: number | undefined;
 
-    /** The queue went from empty to holding something. */
+    /** Records that the queue is no longer empty. */
     public handleBusy(nowMs: number): void {
         this.busySinceMs ??= nowMs;
     }
 
-    /** The queue became empty. */
+    /** Records that the queue has become empty. */
     public handleIdle(nowMs: number): void {
         this.update(nowMs);
         this.busySinceMs = undefined;
     }
 
-    /** One request left the queue to run. */
+    /** Records that one request was taken from the queue and started. */
     public handleStart(nowMs: number): void {
         this.update(nowMs);
         this.starts += 1;
     }
 
-    /** Time until `waiting` requests have left; undefined while too little was measured. */
+    /** Time in which `waiting` requests are expected to start; milliseconds; undefined before enough busy time was measured. */
     public estimateWaitMs(waiting: number, nowMs: number): number | undefined {
         this.update(nowMs);
         if (this.busyMs < minBusyMs) {
@@ -41,15 +41,15 @@
         if (this.busySinceMs === undefined || nowMs <= this.busySinceMs) {
             return;
         }
-        const passedMs = nowMs - this.busySinceMs;
-        const kept = Math.exp(-passedMs / timeConstantMs);
-        this.starts *= kept;
-        this.busyMs = this.busyMs * kept + timeConstantMs * (1 - kept);
+        const elapsedMs = nowMs - this.busySinceMs;
+        const decay = Math.exp(-elapsedMs / timeConstantMs);
+        this.starts *= decay;
+        this.busyMs = this.busyMs * decay + timeConstantMs * (1 - decay);
         this.busySinceMs = nowMs;
     }
 }
 
 const minBusyMs = 1_800;
 const timeConstantMs = 10_000;
-/** Keeps the estimate finite when nothing has started for long. */
+/** Keeps the estimate finite when no request has started for a long time. */
 const minStarts = 0.1;
--- a/src/decisions/admission/engineBudget.ts
+++ b/src/decisions/admission/engineBudget.ts
@@ -1,166 +1,164 @@
 /**
- * How much one engine is given to read, decided at one place: the router that owns the engine.
+ * Budget of prompt tokens that one engine is granted for prefill, kept in a single place: the router that owns the engine.
  *
- * Load pattern: many routers choose engines by what they know of one another's sends. The older that is, the more of them
- * choose the same engine, which all believe idle; and above saturation each engine gets a prompt the moment it has nothing
- * to read, so that its running streams never get a token. The owner's books are exact for its engine however old everything
- * else is.
+ * Load pattern: many routers choose engines by replicated state about one another's sends. The older this state is, the more routers
+ * choose the same engine, which looks idle to all of them; and above saturation every engine receives a new prompt as soon as its
+ * prefill queue is empty, so that its running streams never receive a token. The owner's accounting is exact for its engine, however
+ * old the replicated state is.
  *
- * An engine that reads generates no tokens for its streams. So within any span of the pause objective it is given at most a
- * part of what it reads in that span, and streams get their tokens in the rest. Grants expire with the span, so that one whose
- * request was never sent, or whose end is not reported, holds nothing up for long.
+ * An engine generates no tokens for its streams during prefill. Within any window as long as the pause objective it is therefore granted
+ * at most a fraction of the tokens that it can prefill in that time, and generates tokens in the rest. Grants expire with the window, so
+ * that a grant whose request was never sent, or whose end was not reported, blocks capacity only briefly.
  */
 
-/** What a router asks the owner of an engine for. */
+/** A router's request for a grant, sent to the owner of an engine. */
 export interface ReadingRequest {
     /** Unique over all routers. */
     readonly id: string;
-    /** Prompt tokens that the engine has to read. */
+    /** Prompt tokens of the request that the engine has to prefill. */
     readonly tokens: number;
-    /** Prompt tokens that may wait to be read there before the request's own. */
+    /** Maximum number of prompt tokens queued at the engine before the request. */
     readonly mostAheadTokens: number;
-    /** Part of the limit that may be in use with this request, 0 to 1. */
+    /** Maximum fraction of the engine's limit that may be in use including this request; above 1 if it may exceed the limit. */
     readonly mostUse: number;
-    /** Span of the limit: the longest pause that the engine's streams bear; milliseconds. */
+    /** Window of the limit: the longest pause that the engine's streams tolerate; milliseconds. */
     readonly spanMs: number;
 }
 
-/** What an engine can take. */
+/** Speed and limits of an engine. */
 export interface EngineRate {
     readonly tokensPerMs: number;
     readonly slots: number;
-    /** Part of any span that the engine may read, above 0. */
+    /** Fraction of any window that the engine may spend on prefill, above 0. */
     readonly readingShare: number;
 }
 
-/** The owner's answer. */
+/** The owner's decision on a grant. */
 export interface ReadingDecision {
     readonly granted: boolean;
-    /** Prompt tokens that wait to be read there before the request's own. */
+    /** Prompt tokens queued at the engine before the request. */
     readonly aheadTokens: number;
-    /** Part of the span's reading time that is given away, with this request if it is granted. */
+    /** Fraction of the window's prefill capacity that is granted, including this request if it is granted. */
     readonly use: number;
-    /** When a request like this one could be granted; 0 if this one is. */
+    /** Time after which an equal request could be granted; milliseconds, 0 if this one is granted. */
     readonly retryAfterMs: number;
 }
 
-interface Entry {
+interface Grant {
     readonly id: string;
     readonly tokens: number;
     readonly grantedAtMs: number;
-    /** When the engine has read it, at its learnt speed. */
-    readonly readAtMs: number;
+    /** Expected end of the prefill, at the engine's measured speed. */
+    readonly prefilledAtMs: number;
     hasStarted: boolean;
 }
 
-/** Grants are kept for the longest span that any request names, and no longer. */
-const longestSpanMs = 2_000;
-/** A request that has not been reported as ended by then is over or lost. */
+/** Maximum window of any request; older grants are removed. */
+const maxWindowMs = 2_000;
+/** A request whose end has not been reported within this time is assumed to have ended or to be lost. */
 const runTtlMs = 20_000;
-/** A prompt without output so long after it should have been read is held up by an engine that stalls. */
-const stalledMs = 1_000;
+/** A prompt that has no output this long after its expected prefill is delayed by a stalled engine and counts as queued again. */
+const stallTimeoutMs = 1_000;
 /**
- * Part of a request's own tokens that must find room: with all of them long prompts would wait for a room that short ones take first.
- * Requests that may go beyond the limit need room for none of theirs.
+ * Fraction of a request's own tokens that must fit into the limit. If all of them had to fit, long prompts would wait for capacity that
+ * short prompts take first. Requests that may exceed the limit need no capacity for their own tokens.
  */
-const ownWeight = 0.5;
-/** A full engine is asked again after this long; about the time in which one of its streams ends. */
-const fullRetryMs = 100;
+const ownTokensWeight = 0.5;
+/** Retry delay for an engine without a free slot; about the time in which one of its streams ends. */
+const noSlotRetryMs = 100;
 
-/** The books of one engine. */
+/** Accounting of the grants of one engine. */
 export class EngineBudget {
-    /** Granted requests in order of their times. */
-    private entries: Entry[] = [];
+    /** Grants in order of their times. */
+    private grants: Grant[] = [];
     private readonly running = new Map<string, number>();
 
-    /** Requests under way. */
+    /** Number of granted requests that have not ended. */
     public countRunning(nowMs: number): number {
         this.removeOld(nowMs);
         return this.running.size;
     }
 
-    /** Prompt tokens that wait to be read. */
+    /** Prompt tokens queued for prefill. */
     public countWaiting(rate: EngineRate, nowMs: number): number {
         this.removeOld(nowMs);
-        return this.entries.reduce((sum, entry) => sum + countUnread(entry, rate, nowMs), 0);
+        return this.grants.reduce((sum, grant) => sum + countQueued(grant, rate, nowMs), 0);
     }
 
-    /** Decides, and books what it grants. A request that is asked for twice is booked once. */
+    /** Decides on a request and records the grant. A request that is received twice is recorded once. */
     public check(request: ReadingRequest, rate: EngineRate, nowMs: number): ReadingDecision {
         const aheadTokens = this.countWaiting(rate, nowMs);
-        const spanTokens = rate.tokensPerMs * request.spanMs;
+        const windowTokens = rate.tokensPerMs * request.spanMs;
         const usedTokens = this.countUsed(request.spanMs, nowMs);
         if (this.running.has(request.id)) {
-            return { granted: true, aheadTokens, use: usedTokens / spanTokens, retryAfterMs: 0 };
+            return { granted: true, aheadTokens, use: usedTokens / windowTokens, retryAfterMs: 0 };
         }
-        const limit = spanTokens * rate.readingShare * request.mostUse;
+        const limit = windowTokens * rate.readingShare * request.mostUse;
         const waits = [
-            this.running.size >= rate.slots ? fullRetryMs : 0,
+            this.running.size >= rate.slots ? noSlotRetryMs : 0,
             Math.max(0, aheadTokens - request.mostAheadTokens) / rate.tokensPerMs,
-            this.computeRoomMs(request, limit, nowMs),
+            this.computeCapacityMs(request, limit, nowMs),
         ];
         const retryAfterMs = Math.max(...waits);
         const granted = retryAfterMs === 0;
         if (granted) {
             this.record(request, rate, nowMs);
         }
-        const use = (usedTokens + (granted ? request.tokens : 0)) / spanTokens;
+        const use = (usedTokens + (granted ? request.tokens : 0)) / windowTokens;
         return { granted, aheadTokens, use, retryAfterMs };
     }
 
-    /** Books a request that is sent whatever the limit says. */
+    /** Records a request that is sent regardless of the limit. */
     public record({ id, tokens }: Pick<ReadingRequest, "id" | "tokens">, rate: EngineRate, nowMs: number): void {
         if (!this.running.has(id)) {
-            const freeAtMs = this.entries[this.entries.length - 1]?.readAtMs ?? nowMs;
-            const readAtMs = Math.max(nowMs, freeAtMs) + tokens / rate.tokensPerMs;
-            this.entries.push({ id, tokens, grantedAtMs: nowMs, readAtMs, hasStarted: false });
+            const freeAtMs = this.grants[this.grants.length - 1]?.prefilledAtMs ?? nowMs;
+            const prefilledAtMs = Math.max(nowMs, freeAtMs) + tokens / rate.tokensPerMs;
+            this.grants.push({ id, tokens, grantedAtMs: nowMs, prefilledAtMs, hasStarted: false });
             this.running.set(id, nowMs);
         }
     }
 
-    /** The engine has read the prompt. */
+    /** Records that the engine has completed the prefill of the prompt. */
     public recordStart(id: string): void {
-        const entry = this.entries.find(candidate => candidate.id === id);
-        if (entry !== undefined) {
-            entry.hasStarted = true;
+        const grant = this.grants.find(candidate => candidate.id === id);
+        if (grant !== undefined) {
+            grant.hasStarted = true;
         }
     }
 
-    /** The request has ended; `hasRun` is false where the engine never got it, which gives the grant back. */
+    /** Records that the request has ended. `hasRun`: false if the engine never received the request; its grant is then revoked. */
     public recordEnd(id: string, hasRun: boolean): void {
         this.running.delete(id);
         if (hasRun) {
             this.recordStart(id);
         } else {
-            this.entries = this.entries.filter(entry => entry.id !== id);
+            this.grants = this.grants.filter(grant => grant.id !== id);
         }
     }
 
-    private countUsed(spanMs: number, nowMs: number): number {
-        return this.entries.reduce((sum, entry) => sum + (nowMs - entry.grantedAtMs < spanMs ? entry.tokens : 0), 0);
+    private countUsed(windowMs: number, nowMs: number): number {
+        return this.grants.reduce((sum, grant) => sum + (nowMs - grant.grantedAtMs < windowMs ? grant.tokens : 0), 0);
     }
 
-    /**
-     * Time until the request finds room; a prompt larger than the limit finds it once nothing is in use.
-     */
-    private computeRoomMs({ spanMs, tokens, mostUse }: ReadingRequest, limit: number, nowMs: number): number {
-        const used = this.entries.filter(entry => nowMs - entry.grantedAtMs < spanMs);
-        let left = used.reduce((sum, entry) => sum + entry.tokens, 0);
-        let roomMs = 0;
-        const ownTokens = mostUse > 1 ? 0 : tokens * ownWeight;
-        for (const entry of used) {
-            if (left + ownTokens <= limit) {
+    /** Time until the limit has capacity for the request; a prompt larger than the limit waits until no grant is in the window. */
+    private computeCapacityMs({ spanMs, tokens, mostUse }: ReadingRequest, limit: number, nowMs: number): number {
+        const used = this.grants.filter(grant => nowMs - grant.grantedAtMs < spanMs);
+        let usedTokens = used.reduce((sum, grant) => sum + grant.tokens, 0);
+        let capacityMs = 0;
+        const ownTokens = mostUse > 1 ? 0 : tokens * ownTokensWeight;
+        for (const grant of used) {
+            if (usedTokens + ownTokens <= limit) {
                 break;
             }
-            left -= entry.tokens;
-            roomMs = entry.grantedAtMs + spanMs - nowMs;
+            usedTokens -= grant.tokens;
+            capacityMs = grant.grantedAtMs + spanMs - nowMs;
         }
-        return roomMs;
+        return capacityMs;
     }
 
     private removeOld(nowMs: number): void {
-        const firstKept = this.entries.findIndex(entry => nowMs - entry.grantedAtMs < longestSpanMs);
-        this.entries.splice(0, firstKept < 0 ? this.entries.length : firstKept);
+        const firstKept = this.grants.findIndex(grant => nowMs - grant.grantedAtMs < maxWindowMs);
+        this.grants.splice(0, firstKept < 0 ? this.grants.length : firstKept);
         for (const [id, grantedAtMs] of this.running) {
             if (nowMs - grantedAtMs < runTtlMs) {
                 break;
@@ -170,10 +168,12 @@
     }
 }
 
-/** Tokens of the entry that the engine has not read yet. */
-function countUnread({ tokens, readAtMs, hasStarted }: Entry, { tokensPerMs }: EngineRate, nowMs: number): number {
+/** Tokens of a grant that the engine has not prefilled yet. */
+function countQueued({ tokens, prefilledAtMs, hasStarted }: Grant, { tokensPerMs }: EngineRate, nowMs: number): number {
     if (hasStarted) {
         return 0;
     }
-    return nowMs - readAtMs > stalledMs ? tokens : Math.min(tokens, Math.max(0, (readAtMs - nowMs) * tokensPerMs));
+    return nowMs - prefilledAtMs > stallTimeoutMs
+        ? tokens
+        : Math.min(tokens, Math.max(0, (prefilledAtMs - nowMs) * tokensPerMs));
 }
--- a/src/decisions/admission/expectedWait.ts
+++ b/src/decisions/admission/expectedWait.ts
@@ -1,30 +1,30 @@
-/** Shortest and longest time after which a refused caller is told to come back; milliseconds. */
+/** Minimum and maximum retry delay sent to a refused caller; milliseconds. */
 export const retryAfterBoundsMs = { least: 200, most: 60_000 } as const;
 
-/** How things stand at the agent when a request comes. Costs are in the service's unit, not divided by weight. */
+/** State of the agent's queues when a request arrives. Costs are in the service's unit, not divided by weight. */
 export interface WaitSituation {
     readonly freeSlots: number;
     readonly window: number;
-    /** Time the target takes per unit of cost in one slot; undefined before anything ended. */
+    /** Time that the target takes per unit of cost in one slot; undefined before the first request has ended. */
     readonly msPerCost: number | undefined;
     readonly waitingCost: number;
     readonly accountWaitingCost: number;
     /** Estimated cost of the request itself. */
     readonly cost: number;
     readonly accountWeight: number;
-    /** Weights of all accounts that wait, the request's own included. */
+    /** Sum of the weights of all accounts with waiting requests, including the request's own account. */
     readonly backloggedWeight: number;
-    /** Time until the target may be tried again when its circuit is open; else 0. */
+    /** Time until the target may be tried again if its circuit is open, otherwise 0; milliseconds. */
     readonly pausedForMs: number;
 }
 
-/** Bounds on what may wait at one agent. */
+/** Limits on the requests queued at one agent. */
 export interface QueueBounds {
     readonly maxQueuedTotal: number;
     readonly maxQueuedPerAccount: number;
 }
 
-/** Whether a request may wait here, and if not, why and when to come back. */
+/** Whether a request may be queued at the agent, and otherwise the reason and the retry delay. */
 export type AdmissionDecision =
     | { readonly admitted: true }
     | {
@@ -34,63 +34,63 @@
       };
 
 /**
- * How long a new request would wait, in milliseconds. Under fair queueing an account's work drains at its share of
- * the target, whatever the others have queued, and never later than when everything queued has drained.
+ * Expected wait of a new request; milliseconds. Under fair queueing an account's queue drains at the account's share of
+ * the target, whatever other accounts have queued, and at the latest when the whole queue has drained.
  */
-export function estimateWaitMs(situation: WaitSituation): number {
-    const { msPerCost, window } = situation;
-    if (msPerCost === undefined || window <= 0 || (situation.freeSlots > 0 && situation.waitingCost === 0)) {
-        return situation.pausedForMs;
+export function estimateWaitMs(state: WaitSituation): number {
+    const { msPerCost, window } = state;
+    if (msPerCost === undefined || window <= 0 || (state.freeSlots > 0 && state.waitingCost === 0)) {
+        return state.pausedForMs;
     }
-    const share = situation.backloggedWeight / situation.accountWeight;
-    const ahead = Math.min(situation.waitingCost, situation.accountWaitingCost * share);
-    return situation.pausedForMs + (ahead * msPerCost) / window;
+    const share = state.backloggedWeight / state.accountWeight;
+    const queuedCost = Math.min(state.waitingCost, state.accountWaitingCost * share);
+    return state.pausedForMs + (queuedCost * msPerCost) / window;
 }
 
-/** How long the request itself is expected to run, in milliseconds; 0 before anything ended. */
-export function estimateServiceMs(situation: Pick<WaitSituation, "msPerCost" | "cost">): number {
-    return (situation.msPerCost ?? 0) * situation.cost;
+/** Expected run time of the request itself; milliseconds; 0 before the first request has ended. */
+export function estimateServiceMs(state: Pick<WaitSituation, "msPerCost" | "cost">): number {
+    return (state.msPerCost ?? 0) * state.cost;
 }
 
 /**
- * When a waiting request must have started to be answered in time. At most half of the time it has is kept for the
- * answer: the estimate may be far too high, and the request must then have had a chance.
+ * Latest time at which a waiting request can start and still complete before its deadline. At most half of the remaining time is
+ * reserved for the run: the estimate may be far too high, and the request must then still get a chance to start.
  */
-export function computeLatestStartMs(situation: WaitSituation, nowMs: number, deadlineAtMs: number): number {
-    return deadlineAtMs - Math.min(estimateServiceMs(situation), (deadlineAtMs - nowMs) / 2);
+export function computeLatestStartMs(state: WaitSituation, nowMs: number, deadlineAtMs: number): number {
+    return deadlineAtMs - Math.min(estimateServiceMs(state), (deadlineAtMs - nowMs) / 2);
 }
 
 /**
- * Decides whether a request may wait at this agent.
+ * Decides whether a request may be queued at this agent.
  *
- * Load patterns: saturation and a flood. A request that cannot be answered before its deadline only holds memory and,
- * once started, a slot for an answer that nobody waits for; at full load such work crowds out what could still be in
- * time. It is refused at once, with the time after which the wait is expected to have drained to half its deadline.
- * One that can start at once is never refused for its own expected time, else a wrong estimate would never be mended.
- * The bound per account keeps one account from using up the total bound, which protects the process's memory.
+ * Load patterns: saturation and overload by one account. A request that cannot complete before its deadline only holds memory and,
+ * once started, a slot for a response that its caller no longer waits for; at full load such requests displace those that could still
+ * complete in time. It is refused immediately, with a retry delay after which the expected wait has drained to half its deadline.
+ * A request that can start immediately is never refused for its own expected run time, as a wrong estimate would then never be corrected.
+ * The limit per account keeps one account from using up the total limit, which protects the process's memory.
  */
 export function checkAdmission(
-    situation: WaitSituation,
+    state: WaitSituation,
     counts: { readonly queuedTotal: number; readonly queuedOfAccount: number },
     bounds: QueueBounds,
-    timeLeftMs: number,
+    remainingMs: number,
 ): AdmissionDecision {
-    const waitMs = estimateWaitMs(situation);
+    const waitMs = estimateWaitMs(state);
     if (counts.queuedOfAccount >= bounds.maxQueuedPerAccount) {
         return { admitted: false, reason: "account-queue-full", retryAfterMs: toRetryAfterMs(waitMs / 2) };
     }
     if (counts.queuedTotal >= bounds.maxQueuedTotal) {
         return { admitted: false, reason: "queue-full", retryAfterMs: toRetryAfterMs(waitMs / 2) };
     }
-    const neededMs = waitMs === 0 ? 0 : waitMs + Math.min(estimateServiceMs(situation), timeLeftMs / 2);
-    if (timeLeftMs <= 0 || neededMs > timeLeftMs) {
-        const retryAfterMs = toRetryAfterMs(waitMs - Math.max(0, timeLeftMs) / 2);
+    const requiredMs = waitMs === 0 ? 0 : waitMs + Math.min(estimateServiceMs(state), remainingMs / 2);
+    if (remainingMs <= 0 || requiredMs > remainingMs) {
+        const retryAfterMs = toRetryAfterMs(waitMs - Math.max(0, remainingMs) / 2);
         return { admitted: false, reason: "deadline", retryAfterMs };
     }
     return { admitted: true };
 }
 
-/** A time to come back that is neither at once nor never; milliseconds. */
+/** Rounds a retry delay and limits it to {@link retryAfterBoundsMs}; milliseconds. */
 export function toRetryAfterMs(ms: number): number {
     return Math.round(Math.min(retryAfterBoundsMs.most, Math.max(retryAfterBoundsMs.least, ms)));
 }
--- a/src/decisions/admission/promptAdmission.ts
+++ b/src/decisions/admission/promptAdmission.ts
@@ -1,187 +1,208 @@
 /**
- * Whether a prompt is sent to a model engine, or refused at once with a time to come back.
+ * Admission control for prompts: decides whether a prompt is sent to a model engine or refused immediately with a retry delay.
  *
- * Load pattern: more prompt tokens are demanded than the engines read. Sent on all the same, requests queue at the engines
- * until every first token is late, and work that nobody waits for any more crowds out what could still be in time. A request
- * whose first token would be late is therefore refused while its caller can still come back in time, and what lies beyond an
- * account's fair share goes first.
+ * Load pattern: more prompt tokens are requested than the engines can prefill. If all requests were sent on, they would queue at the
+ * engines until every first token is late, and requests whose callers no longer wait would displace those that could still be in time.
+ * A request whose first token would be late is therefore refused while its caller can still retry in time, and requests beyond an
+ * account's fair share are refused first.
  *
- * The router states bounds ({@link computePromptBounds}): how long the request may wait behind others, and up to which part of
- * the engine's limit it may use. The engine's owner decides by its books. Accounts beyond their share may use the less of the
- * limit the more of the surplus they have had: with one bound for all, what is left over goes to whoever asks most often. Where
- * no owner answers, the router decides by its own beliefs ({@link checkPromptAdmission}).
+ * The router computes bounds ({@link computePromptBounds}): the maximum wait in the engine's queue, and the maximum fraction of
+ * the engine's limit that the request may use. The engine's owner decides by its accounting. The more of the surplus an account beyond
+ * its share has been served, the smaller the fraction of the limit that it may use: with one bound for all accounts, unused capacity
+ * would go to the accounts with the highest request rate. If no owner replies, the router decides by its own estimates
+ * ({@link checkPromptAdmission}).
  */
 import type { ShareUse } from "../shares/accountShares.js";
 
-/** What is known when a request arrives. */
+/** State on which the admission of a prompt is decided. */
 export interface PromptAdmissionView {
-    /** Time to the first event at the best engine. */
+    /** Expected time to the first event at the best engine; milliseconds. */
     readonly expectedMs: number;
-    /** The same for a request at an idle engine: its own prompt's reading alone. */
+    /** The same at an idle engine: only the prefill of the request's own prompt. */
     readonly aloneMs: number;
+    /** Objective for the time to the first event; milliseconds. */
     readonly objectiveMs: number;
-    /** Longest pause between two events of a stream that is still in time. */
+    /** Objective for the longest pause between two events of a stream; milliseconds. */
     readonly pauseObjectiveMs: number;
+    /** Time remaining until the request's deadline; milliseconds. */
     readonly timeLeftMs: number;
-    /** What the request's account got, over what it may have. */
+    /** Tokens served to the request's account, relative to its entitlement. */
     readonly shareUse: ShareUse;
-    /** Smoothed share of engines that have nothing to read, 0 to 1. */
+    /** Smoothed fraction of engines whose prefill queue is empty, 0 to 1. */
     readonly idleShare: number;
 }
 
-/** The decision with what it was made from. */
+/** The admission decision; a refusal has its reason and the retry delay. */
 export type PromptAdmission =
     | { readonly admitted: true }
     | { readonly admitted: false; readonly reason: "late" | "over-share"; readonly retryAfterMs: number };
 
 /**
- * Part of the objective that the expected time may take. Below one, as the estimate is a mean: a request expected just in
- * time is late every other time, and it holds up those behind it.
+ * Fraction of the objective that the expected time may take. Below one, as the estimate is a mean: a request that is expected just in
+ * time would be late every other time, and it delays the requests queued after it.
  */
-const usableShare = 0.75;
-/** Part of the objective that a request beyond its account's share may wait by beliefs: about the time of one usual prompt. */
-const overShareWait = 0.07;
-/** The same for each part of the surplus that the account has not used: accounts near the even level wait for those below. */
-const levelWait = 0.15;
+const usableFraction = 0.75;
 /**
- * Use of the surplus from which on an account that has had its fair share must let others have theirs. Above 1, so that the level
- * can rise when there is room: it is the mean of what was given, and would only ever fall if all were held to it.
+ * Fraction of the objective that a request beyond its account's share may be expected to wait, by this router's estimates; about the
+ * prefill time of one usual prompt.
  */
-const mostSurplusUse = 1.25;
-/** With so many engines idle there is room for everybody. */
-const slackIdleShare = 0.5;
+const overShareWaitFraction = 0.07;
+/** The same per unused fraction of the surplus: accounts near the fair level wait for those below it. */
+const surplusWaitFraction = 0.15;
 /**
- * From here on an account may count as beyond its share: the sums are late by a round of messages, and an account that yields only
- * when all of its share is used has filled the engines by then.
+ * Surplus usage above which an account that has been served its fair share yields to others. Above 1, so that the fair level can rise
+ * when there is capacity: the level is the mean of the served tokens, and would only ever fall if all accounts were held to it.
  */
-const overShareFrom = 0.75;
-/** Part of the pause objective that a request may wait by beliefs: streams at the engine get no token in the meantime. */
-const pauseWait = 0.5;
+const maxSurplusUsage = 1.25;
+/** From this fraction of idle engines on there is capacity for all accounts. */
+const spareCapacityIdleShare = 0.5;
 /**
- * Part of the objective after which a caller beyond its share does best to come back: by then what is read now has been read, and
- * the rest of the objective is enough for its own prompt.
+ * Share usage from which an account may count as beyond its share. Below 1, because totals are delayed by a round of messages: an account
+ * that yields only when its whole share is used has filled the engines by then.
  */
-const overShareRetry = 0.4;
+const overShareThreshold = 0.75;
 /**
- * Times the limit that accounts within their share may use: they are few, and floods that fill engines up to the limit must not keep
- * them out.
+ * Fraction of the pause objective that a request may be expected to wait, by this router's estimates: streams at the engine receive no
+ * token in the meantime.
  */
-const withinShareUse = 1.5;
-/** From this use of the surplus on an account yields before it has used its whole share. */
-const yieldingSurplus = 0.5;
-/** Sums older than this may miss most of a flood. */
-const trustedAgeMs = 600;
-/** Part of the pause objective that a request beyond its account's share may wait: those within it find less ahead of them. */
-const overShareWaitShare = 0.35;
-/** Part of an engine's limit that accounts beyond their share may use; the rest is for those within it. */
-const mostOverShareUse = 0.95;
-/** The same for an account at the even level of the surplus: accounts below it find room where it finds none. */
-const levelUse = 0.85;
-/** By how much an account finds less room for each part of the even level that it has had more. */
-const surplusGain = 2.5;
-/** Up to this part of the even level of an engine an account is a small one there. */
-const smallSurplus = 0.35;
-/** From this part on it is one of those that share the engine evenly. */
-const levelSurplus = 0.6;
-/** An account that has had so many times the level is held back. */
-const unevenSurplus = 1.75;
-/** However much an account has had, it may use what would otherwise lie idle. */
-const leastOverShareUse = 0;
-/** Shortest pause before a caller comes back; below it the caller meets the same queue. */
-const leastRetryAfterMs = 80;
+const pauseWaitFraction = 0.5;
+/**
+ * Fraction of the objective after which a caller beyond its share should retry: by then the engine has completed the current prefill, and
+ * the rest of the objective is enough for the caller's own prompt.
+ */
+const overShareRetryFraction = 0.4;
+/**
+ * Multiple of an engine's limit that accounts within their share may use: they have few requests, and must not be refused because
+ * overloading accounts fill the engines up to the limit.
+ */
+const maxWithinShareUsage = 1.5;
+/** Surplus usage from which an account yields before its whole share is used. */
+const yieldingSurplusThreshold = 0.5;
+/** Totals older than this may miss most of an overload; milliseconds. */
+const maxTrustedAgeMs = 600;
+/**
+ * Fraction of the pause objective that a request beyond its account's share may wait; it keeps the queue short for requests
+ * within their share.
+ */
+const overSharePauseFraction = 0.35;
+/** Maximum fraction of an engine's limit for accounts beyond their share; the rest is reserved for accounts within their share. */
+const maxOverShareUsage = 0.95;
+/** The same for an account at the fair level of the surplus, so that accounts below the level are granted capacity before it. */
+const fairLevelUsage = 0.85;
+/** Decrease of the usable fraction of the limit per unit of surplus usage above the fair level. */
+const surplusUsageSlope = 2.5;
+/** Up to this fraction of an engine's fair level an account counts as small at the engine. */
+const smallSurplusThreshold = 0.35;
+/** From this fraction on an account counts as one of those that share the engine evenly. */
+const evenSurplusThreshold = 0.6;
+/** Above this multiple of an engine's fair level an account is limited by its surplus usage. */
+const excessSurplusThreshold = 1.75;
+/** Lower bound of the usable fraction: however much an account has been served, it may use an engine that would otherwise be idle. */
+const minOverShareUsage = 0;
+/** Minimum retry delay: a caller that retries sooner finds the same queue; milliseconds. */
+const minRetryAfterMs = 80;
 
-/** What a request may find at its engine and still be sent there. */
+/** Upper bounds on an engine's load for a request to be sent to the engine. */
 export interface PromptBounds {
-    /** Longest wait behind others; milliseconds. */
+    /** Maximum wait in the engine's queue; milliseconds. */
     readonly mostWaitMs: number;
-    /** Part of what the engine may be given that may be in use, 0 to 1. */
+    /** Maximum fraction of the engine's limit that may be in use, 0 to 1, or above 1 for accounts within their share. */
     readonly mostUse: number;
-    /** Why it is refused where an engine is beyond the bounds. */
+    /** Reason of the refusal if an engine exceeds the bounds. */
     readonly reason: "late" | "over-share";
 }
 
-/** The bounds that the owner of an engine holds a request to. */
+/** Computes the bounds that the owner of an engine applies to a request. */
 export function computePromptBounds(view: Omit<PromptAdmissionView, "expectedMs" | "idleShare">): PromptBounds {
     const usableMs = computeUsableMs(view);
     const mostWaitMs = Math.max(usableMs - view.aloneMs, usableMs / 2);
     const mostUse = computeMostUse(view.shareUse);
     return isBeyondShare(view.shareUse)
         ? {
-              mostWaitMs: Math.min(mostWaitMs, view.pauseObjectiveMs * overShareWaitShare),
+              mostWaitMs: Math.min(mostWaitMs, view.pauseObjectiveMs * overSharePauseFraction),
               mostUse,
               reason: "over-share",
           }
         : { mostWaitMs, mostUse, reason: "late" };
 }
 
-/** Part of an engine's limit that a request of the account may use. */
+/** Maximum fraction of an engine's limit that a request of the account may use. */
 export function computeMostUse(shareUse: ShareUse): number {
-    return isBeyondShare(shareUse) ? computeSurplusUse(shareUse.surplus) : withinShareUse;
+    return isBeyondShare(shareUse) ? computeOverShareUsage(shareUse.surplus) : maxWithinShareUsage;
 }
 
 /**
- * Whether an account yields to others: before its whole share is used only if it has had much of what is left over, or if the sums
- * are too old to decide by.
+ * Whether an account yields to others. Before its whole share is used it yields only if it has been served much of the surplus, or if
+ * the totals are too old to be reliable.
  */
 function isBeyondShare({ share, surplus, sumsAgeMs }: ShareUse): boolean {
-    const mayHaveMore = surplus >= yieldingSurplus || sumsAgeMs > trustedAgeMs;
-    return share >= 1 || (share >= overShareFrom && mayHaveMore);
+    const mayExceedShare = surplus >= yieldingSurplusThreshold || sumsAgeMs > maxTrustedAgeMs;
+    return share >= 1 || (share >= overShareThreshold && mayExceedShare);
 }
 
-/** Part of an engine's limit for an account beyond its share: less the more of the surplus it has had. */
-function computeSurplusUse(surplus: number): number {
-    return Math.min(mostOverShareUse, Math.max(leastOverShareUse, levelUse + (1 - surplus) * surplusGain));
+/** Usable fraction of an engine's limit for an account beyond its share; it falls with the account's surplus usage. */
+function computeOverShareUsage(surplus: number): number {
+    return Math.min(maxOverShareUsage, Math.max(minOverShareUsage, fairLevelUsage + (1 - surplus) * surplusUsageSlope));
 }
 
 /**
- * Part of an engine's limit for an account by what it had there over the even level of that engine, whatever the fleet's sums say:
- * beyond the limit for the small ones alone, and little for one that has had much more than the others.
+ * Usable fraction of an engine's limit for an account, by the tokens that it was served at this engine relative to the engine's fair
+ * level, regardless of the fleet's totals: above 1 only for small accounts, and small for an account that was served
+ * much more than the others.
  */
 export function computeEngineUse(surplus: number): number {
-    if (surplus > unevenSurplus) {
-        return computeSurplusUse(surplus);
+    if (surplus > excessSurplusThreshold) {
+        return computeOverShareUsage(surplus);
     }
-    const part = Math.min(1, Math.max(0, (surplus - smallSurplus) / (levelSurplus - smallSurplus)));
-    return withinShareUse + (mostOverShareUse - withinShareUse) * part;
+    const position = Math.min(
+        1,
+        Math.max(0, (surplus - smallSurplusThreshold) / (evenSurplusThreshold - smallSurplusThreshold)),
+    );
+    return maxWithinShareUsage + (maxOverShareUsage - maxWithinShareUsage) * position;
 }
 
-/** When a caller does best to come back; `roomMs`: when the engine would have taken the request. */
-export function computePromptRetry(reason: PromptBounds["reason"], objectiveMs: number, roomMs: number): number {
-    const leastMs = reason === "over-share" ? objectiveMs * overShareRetry : leastRetryAfterMs;
-    return Math.max(leastMs, roomMs);
+/** Retry delay for a refused caller; `capacityMs`: time until the engine has capacity for the request; milliseconds. */
+export function computePromptRetry(reason: PromptBounds["reason"], objectiveMs: number, capacityMs: number): number {
+    const minMs = reason === "over-share" ? objectiveMs * overShareRetryFraction : minRetryAfterMs;
+    return Math.max(minMs, capacityMs);
 }
 
-/** Decides on one request by what this router believes of the engine, where its owner does not answer. */
+/** Decides on a request by this router's own estimates, for an engine whose owner does not reply. */
 export function checkPromptAdmission(view: PromptAdmissionView): PromptAdmission {
     const waitMs = view.expectedMs - view.aloneMs;
-    if (view.shareUse.share >= overShareFrom) {
-        const allowedWaitMs = view.objectiveMs * computeOverShareWait(view);
+    if (view.shareUse.share >= overShareThreshold) {
+        const allowedWaitMs = view.objectiveMs * computeOverShareWaitFraction(view);
         if (waitMs > allowedWaitMs) {
             const retryAfterMs = computePromptRetry("over-share", view.objectiveMs, waitMs - allowedWaitMs);
             return { admitted: false, reason: "over-share", retryAfterMs };
         }
     }
-    const retryAfterMs = Math.max(leastRetryAfterMs, view.expectedMs - computeUsableMs(view));
+    const retryAfterMs = Math.max(minRetryAfterMs, view.expectedMs - computeUsableMs(view));
     return view.expectedMs <= computeAllowedMs(view)
         ? { admitted: true }
         : { admitted: false, reason: "late", retryAfterMs };
 }
 
 function computeUsableMs({ objectiveMs, timeLeftMs }: Pick<PromptAdmissionView, "objectiveMs" | "timeLeftMs">): number {
-    return Math.min(objectiveMs, timeLeftMs) * usableShare;
+    return Math.min(objectiveMs, timeLeftMs) * usableFraction;
 }
 
 /**
- * Time to the first event that is let in. A prompt that takes long by itself is never in time; refusing it would only bring
- * it back, so it may be late by its own length, though not by that of a queue.
+ * Maximum expected time to the first event of an admitted request; milliseconds. A prompt whose own prefill takes long is never in time.
+ * Refusing it would only cause a retry, so it may be late by its own prefill time, but not by the wait in a queue.
  */
 function computeAllowedMs(view: Omit<PromptAdmissionView, "expectedMs" | "idleShare">): number {
     const usableMs = computeUsableMs(view);
-    return Math.min(Math.max(usableMs, view.aloneMs + usableMs / 2), view.aloneMs + view.pauseObjectiveMs * pauseWait);
+    return Math.min(
+        Math.max(usableMs, view.aloneMs + usableMs / 2),
+        view.aloneMs + view.pauseObjectiveMs * pauseWaitFraction,
+    );
 }
 
-/** Part of the objective; below 0: not even at an engine with nothing to do. */
-function computeOverShareWait({ shareUse, idleShare }: PromptAdmissionView): number {
-    const left = 1 - shareUse.surplus / mostSurplusUse;
-    return left < 0 && idleShare >= slackIdleShare ? 0 : Math.min(overShareWait, levelWait * left);
+/** Maximum wait of a request beyond its account's share, as a fraction of the objective; below 0 it is refused even at an idle engine. */
+function computeOverShareWaitFraction({ shareUse, idleShare }: PromptAdmissionView): number {
+    const remaining = 1 - shareUse.surplus / maxSurplusUsage;
+    return remaining < 0 && idleShare >= spareCapacityIdleShare
+        ? 0
+        : Math.min(overShareWaitFraction, surplusWaitFraction * remaining);
 }
--- a/src/decisions/admission/readingShare.ts
+++ b/src/decisions/admission/readingShare.ts
@@ -1,32 +1,34 @@
 /**
- * How much an engine may be given to read in any span of the pause objective, learnt from the pauses of streams; as a part of
- * what it would read in that time at its learnt speed.
+ * Prefill share: the prefill tokens that an engine may be granted within the pause objective, as a fraction of the tokens that it could
+ * prefill in that time at its measured speed. It is estimated from the pauses of streams.
  *
- * Load pattern: a dense flood, with a prompt waiting whenever an engine has nothing to read. How much reading streams bear
- * depends on how many tokens an event holds and how long a step with a chunk takes, which no engine reports. Too high a part
- * makes running streams late, too low a one leaves engines idle while callers are refused.
+ * Load pattern: a sustained overload, with a prompt waiting whenever an engine's prefill queue is empty. How much prefill streams tolerate
+ * depends on the number of tokens per event and the duration of a step with a prefill chunk, which no engine reports. Too high a
+ * share makes running streams late, too low a share leaves engines idle while callers are refused.
  *
- * Stochastic approximation of a quantile (Robbins and Monro, 1951), on the logarithm: a late stream lowers the part by a step, one
- * in time raises it by a small fraction of that, so that it settles where the given part of streams is late. A stream in time
- * counts only if the part was in use when it began: at idle engines it says nothing of what streams bear.
+ * Stochastic approximation of a quantile (Robbins and Monro, 1951), on the logarithm: a late stream lowers the share by a step, a stream
+ * in time raises it by a small fraction of the step, so that the share converges to the value at which the configured fraction of
+ * streams is late. A stream in time counts only if the share was in use when the stream began: at idle engines it doesn't indicate how
+ * much prefill streams tolerate.
  */
 
-/** Used until streams were observed: engines generate in the rest of the time. */
+/** Initial value before any stream was observed: engines generate tokens in the rest of the time. */
 const initialShare = 0.8;
-/** Bounds that keep a fault that stalls all streams, or a wrong speed, from moving the part out of reach. */
-const leastShare = 0.3;
-const mostShare = 1.5;
-/** Streams that may be late by a pause. */
-const lateShare = 0.06;
-/** Step of a late stream once many were seen, and at first. */
+/** Bounds that keep a fault that stalls all streams, or a wrong speed, from moving the share too far to recover. */
+const minShare = 0.3;
+const maxShare = 1.5;
+/** Target fraction of streams that are late because of a pause. */
+const targetLateFraction = 0.06;
+/** Step of a late stream after many observations. */
 const settledStep = 0.012;
+/** Step of a late stream at first. */
 const firstStep = 0.06;
-/** Streams after which the step has settled. */
+/** Number of streams after which the step has its final size. */
 const settlingStreams = 100;
-/** A stream in time counts when so much of the part was in use at its start. */
-const usedFrom = 0.5;
+/** A stream in time counts if at least this fraction of the share was in use at its start. */
+const minUsageFraction = 0.5;
 
-/** Learns one service's part. */
+/** Estimates the prefill share of one service's engines. */
 export class ReadingShare {
     private share = initialShare;
     private streams = 0;
@@ -35,15 +37,15 @@
         return this.share;
     }
 
-    /** `use`: part of the engine's reading time that was given away when the stream began. */
-    public observe(isLate: boolean, use: number): void {
-        if (!isLate && use < this.share * usedFrom) {
+    /** Records a stream. `usage`: fraction of the engine's prefill capacity that was granted when the stream began. */
+    public observe(isLate: boolean, usage: number): void {
+        if (!isLate && usage < this.share * minUsageFraction) {
             return;
         }
         this.streams += 1;
-        const settled = Math.min(1, this.streams / settlingStreams);
-        const step = firstStep + (settledStep - firstStep) * settled;
-        const change = isLate ? -step : (step * lateShare) / (1 - lateShare);
-        this.share = Math.min(mostShare, Math.max(leastShare, this.share * Math.exp(change)));
+        const progress = Math.min(1, this.streams / settlingStreams);
+        const step = firstStep + (settledStep - firstStep) * progress;
+        const change = isLate ? -step : (step * targetLateFraction) / (1 - targetLateFraction);
+        this.share = Math.min(maxShare, Math.max(minShare, this.share * Math.exp(change)));
     }
 }
--- a/src/decisions/admission/shortReserve.ts
+++ b/src/decisions/admission/shortReserve.ts
@@ -1,55 +1,58 @@
-/** Without a short request for this long the reserve lapses; milliseconds. */
+/** Time after the last short request at which the reserve expires; milliseconds. */
 export const shortSeenWithinMs = 5_000;
-/** Largest share of the window that is kept from long work. */
+/** Maximum fraction of the window that is reserved for short requests. */
 export const largestReserveShare = 0.25;
 
 const smoothing = 0.1;
 
 /**
- * Keeps a few of a target's slots from long work.
+ * Reserves a few of a target's slots for short requests.
  *
- * Load pattern: long among short. Some route rebuilds of a minute each fill every slot, and a question that takes a
- * second waits for a minute. The reserve is the number of slots that short work keeps busy (Little's law: arrivals per
- * time, times the time each takes), at least one, but never more than a quarter of the window: a window of less than four
- * slots has none, so that a cold target's few slots are not held back.
+ * Load pattern: long requests mixed with short ones. A few requests of a minute each (route rebuilds) fill every slot, and a
+ * request that takes a second waits for a minute. The reserve is the number of slots that short requests keep busy (Little's law:
+ * arrival rate times duration), at least one, but never more than a quarter of the window: a window of less than four
+ * slots has no reserve, so that all of a cold target's few slots stay usable.
  *
- * It is the one exception to work conservation: a reserved slot may stand free while only long work waits. It lapses
- * five seconds after the last short request, so without short traffic nothing is held back.
+ * This is the only exception to work conservation: a reserved slot may be free while only long requests wait. The reserve expires
+ * five seconds after the last short request, so that without short requests no slot is reserved.
  */
 export class ShortReserve {
     private lastSeenAtMs: number | undefined;
-    private gapMs: number | undefined;
+    private intervalMs: number | undefined;
     private durationMs: number | undefined;
 
-    /** A short request arrived. */
+    /** Records the arrival of a short request. */
     public observeArrival(nowMs: number): void {
         if (this.lastSeenAtMs !== undefined) {
-            const gapMs = Math.min(shortSeenWithinMs, nowMs - this.lastSeenAtMs);
-            this.gapMs = this.gapMs === undefined ? gapMs : this.gapMs + smoothing * (gapMs - this.gapMs);
+            const intervalMs = Math.min(shortSeenWithinMs, nowMs - this.lastSeenAtMs);
+            this.intervalMs =
+                this.intervalMs === undefined
+                    ? intervalMs
+                    : this.intervalMs + smoothing * (intervalMs - this.intervalMs);
         }
         this.lastSeenAtMs = nowMs;
     }
 
-    /** A short request ended after running for `durationMs`. */
+    /** Records the run time of a short request that has ended. */
     public observeDuration(durationMs: number): void {
         this.durationMs =
             this.durationMs === undefined ? durationMs : this.durationMs + smoothing * (durationMs - this.durationMs);
     }
 
-    /** When the reserve lapses if no short request comes; undefined when there is none. */
+    /** Time at which the reserve expires if no short request arrives; undefined if it has expired already. */
     public getLapseAtMs(nowMs: number): number | undefined {
         return this.isActive(nowMs) && this.lastSeenAtMs !== undefined
             ? this.lastSeenAtMs + shortSeenWithinMs
             : undefined;
     }
 
-    /** Slots of the window that long work may not take now. */
+    /** Number of slots of the window that long requests may not take. */
     public getReserved(window: number, nowMs: number): number {
         if (!this.isActive(nowMs)) {
             return 0;
         }
-        const busy = Math.ceil((this.durationMs ?? 0) / Math.max(1, this.gapMs ?? shortSeenWithinMs));
-        return Math.min(Math.floor(window * largestReserveShare), Math.max(1, busy));
+        const busySlots = Math.ceil((this.durationMs ?? 0) / Math.max(1, this.intervalMs ?? shortSeenWithinMs));
+        return Math.min(Math.floor(window * largestReserveShare), Math.max(1, busySlots));
     }
 
     private isActive(nowMs: number): boolean {
--- a/src/decisions/admission/workList.ts
+++ b/src/decisions/admission/workList.ts
@@ -1,4 +1,4 @@
-/** A node of a {@link WorkList}; whoever keeps it can remove its value in constant time. */
+/** A node of a {@link WorkList}; with it the value can be removed in constant time. */
 export interface WorkNode<T> {
     readonly value: T;
     previous: WorkNode<T> | undefined;
@@ -6,8 +6,8 @@
 }
 
 /**
- * A first-in-first-out list with removal from the middle in constant time. A `Map` in insertion order would do, but
- * finding its first key walks over all removed ones, which makes a pick linear in what has waited.
+ * A doubly linked first-in-first-out list with removal from any position in constant time. A `Map` in insertion order is not used, as
+ * finding its first key iterates over all removed keys, which makes each selection linear in the number of removed values.
  */
 export class WorkList<T> {
     private first: WorkNode<T> | undefined;
@@ -34,7 +34,7 @@
         return this.first?.value;
     }
 
-    /** Removes a node of this list; the caller removes each node once. */
+    /** Removes a node of this list; each node must be removed only once. */
     public remove(node: WorkNode<T>): void {
         if (node.previous === undefined) {
             this.first = node.next;
