--- a/src/decisions/placement/aggregators.ts
+++ b/src/decisions/placement/aggregators.ts
@@ -1,22 +1,23 @@
 /**
- * Which router of a data centre sums up what its routers report of accounts, the same in all routers' views without a message
- * between them.
+ * Selects the router of a data centre that aggregates the account totals reported by its routers. All routers with the same view of the
+ * fleet select the same one without exchanging messages.
  *
- * The one with the most processor time is chosen, as summing takes some of it from callers; equal ones are ranked by a hash. Views may differ
- * for a while, so that two routers sum up a part each; sums name the routers that they are over.
+ * The router with the most processor time is chosen, as aggregation takes processor time that would otherwise serve callers; ties are
+ * broken by a hash. Views may differ temporarily, so that two routers aggregate a subset each; totals therefore list the
+ * routers that they include.
  */
 import { hashFast, mixHashes } from "../../base/hash.js";
 
-/** A router that could be chosen. */
+/** A router that can be chosen as aggregator. */
 export interface AggregatorCandidate {
     readonly routerId: string;
-    /** Part of a core that it may use. */
+    /** Fraction of a core that the router may use. */
     readonly processorShare: number;
-    /** Whether it asks the balancer to leave it out. */
+    /** Whether the router has requested its removal from the load balancer. */
     readonly isWithdrawn: boolean;
 }
 
-/** The router chosen for the data centre; undefined without candidates. */
+/** Id of the router that aggregates the totals of the data centre; undefined without candidates. */
 export function chooseAggregator(dataCentre: string, candidates: readonly AggregatorCandidate[]): string | undefined {
     const seed = hashFast(dataCentre);
     let best: AggregatorCandidate | undefined;
@@ -28,7 +29,7 @@
     return best?.routerId;
 }
 
-/** Below 0 if `a` goes before `b`. */
+/** Below 0 if `a` is preferred to `b`. */
 function comparePreference(a: AggregatorCandidate, b: AggregatorCandidate, seed: number): number {
     if (a.isWithdrawn !== b.isWithdrawn) {
         return a.isWithdrawn ? 1 : -1;
--- a/src/decisions/placement/firstTokenModel.ts
+++ b/src/decisions/placement/firstTokenModel.ts
@@ -1,66 +1,70 @@
 /**
- * How long a model engine takes to the first event, learnt from what it took before.
+ * Model of a model engine's time to the first event, estimated from previous responses.
  *
- * Load pattern: engines of unknown speed whose reports are old. The time is taken as a fixed part (the first steps of
- * generation) and a part per prompt token that has to be read before, the request's own and those of requests ahead of
- * it: least squares over recent answers, which forget with a half life of some hundred answers, so that a service whose engines slow
- * down is seen within seconds at usual rates.
+ * Load pattern: engines of unknown speed whose reports are old. The time is modelled as a constant (the first steps of
+ * generation) plus a time per prompt token to prefill, those of the request itself and those queued before
+ * it. Both are fitted by least squares over recent responses, weighted with a half-life of some hundred responses, so that the model
+ * follows a slowdown of a service's engines within seconds at usual request rates.
  */
 
 import { RunningQuantile } from "../structures/runningQuantile.js";
 
-/** Assumed before enough was seen: a current accelerator reads some ten thousand prompt tokens a second. */
+/** Prior before enough responses were observed: a current accelerator prefills some ten thousand prompt tokens per second. */
 const priorTokensPerMs = 30;
 const priorFixedMs = 40;
-/** Weight of the assumption in answers; gone after about as many real ones. */
+/** Weight of the prior, as a number of responses; it becomes insignificant after about as many observed responses. */
 const priorWeight = 8;
 const priorSpreadTokens = 8_000;
-const forgetting = 0.995;
-/** Of prompts' reading rates; the fastest ones were held up by nothing. */
-const readingQuantile = 0.9;
-/** Shorter prompts' times are mostly those of the first steps of generation. */
-const leastReadingTokens = 2_000;
-/** Bounds that keep a run of odd answers from making the model absurd. */
-const tokensPerMsBounds = { least: 2, most: 400 } as const;
+const decayPerResponse = 0.995;
+/** Quantile of the observed prefill rates that is taken as the prefill speed: the fastest prompts were not delayed by other work. */
+const prefillQuantile = 0.9;
+/** Prompts shorter than this are ignored for the prefill speed: their time consists mostly of the first steps of generation. */
+const minPrefillTokens = 2_000;
+/** Bounds that keep the model plausible after a series of unusual responses. */
+const tokensPerMsBounds = { min: 2, max: 400 } as const;
 
-/** Learns and predicts the time to the first event of a service's engines. */
+/** Estimates the time to the first event of a service's engines. */
 export class FirstTokenModel {
     private weight = priorWeight;
     private sumX = priorWeight * priorSpreadTokens;
     private sumY = priorWeight * (priorFixedMs + priorSpreadTokens / priorTokensPerMs);
     private sumXx = priorWeight * 2 * priorSpreadTokens ** 2;
-    private readonly readingRate = new RunningQuantile(readingQuantile);
+    private readonly prefillRate = new RunningQuantile(prefillQuantile);
     private sumXy = priorWeight * (priorFixedMs * priorSpreadTokens + (2 * priorSpreadTokens ** 2) / priorTokensPerMs);
 
-    /** `tokens`: prompt tokens that were to be read up to and with the request's own, which has `ownTokens` of them. */
-    public observe(tokens: number, ownTokens: number, tookMs: number): void {
-        if (ownTokens >= leastReadingTokens) {
-            this.readingRate.observe(ownTokens / Math.max(1, tookMs));
+    /**
+     * Records a response. `tokens`: prompt tokens to prefill, queued ones and the request's own; `ownTokens`: the request's own;
+     * `durationMs`: time to the first event.
+     */
+    public observe(tokens: number, ownTokens: number, durationMs: number): void {
+        if (ownTokens >= minPrefillTokens) {
+            this.prefillRate.observe(ownTokens / Math.max(1, durationMs));
         }
-        this.weight = this.weight * forgetting + 1;
-        this.sumX = this.sumX * forgetting + tokens;
-        this.sumY = this.sumY * forgetting + tookMs;
-        this.sumXx = this.sumXx * forgetting + tokens * tokens;
-        this.sumXy = this.sumXy * forgetting + tokens * tookMs;
+        this.weight = this.weight * decayPerResponse + 1;
+        this.sumX = this.sumX * decayPerResponse + tokens;
+        this.sumY = this.sumY * decayPerResponse + durationMs;
+        this.sumXx = this.sumXx * decayPerResponse + tokens * tokens;
+        this.sumXy = this.sumXy * decayPerResponse + tokens * durationMs;
     }
 
     /**
-     * How fast an engine reads that does nothing else. Under load a first event also waits for what is read between its tokens,
-     * which the mean takes for slow reading; prompts that were held up by nothing show the speed itself.
+     * Prefill speed of an engine without other work. Under load a first event is also delayed by prefill between its tokens,
+     * so the mean rate underestimates the speed; prompts that were not delayed show the actual speed.
      */
     public get readingTokensPerMs(): number {
-        const rate = this.readingRate.value ?? priorTokensPerMs;
-        return Math.min(tokensPerMsBounds.most, Math.max(tokensPerMsBounds.least, rate));
+        const rate = this.prefillRate.value ?? priorTokensPerMs;
+        return Math.min(tokensPerMsBounds.max, Math.max(tokensPerMsBounds.min, rate));
     }
 
+    /** Mean prefill speed under the current load. */
     public get tokensPerMs(): number {
         const spread = this.sumXx - (this.sumX * this.sumX) / this.weight;
         const slope = (this.sumXy - (this.sumX * this.sumY) / this.weight) / Math.max(1, spread);
-        const rate = slope > 0 ? 1 / slope : tokensPerMsBounds.most;
-        return Math.min(tokensPerMsBounds.most, Math.max(tokensPerMsBounds.least, rate));
+        const rate = slope > 0 ? 1 / slope : tokensPerMsBounds.max;
+        return Math.min(tokensPerMsBounds.max, Math.max(tokensPerMsBounds.min, rate));
     }
 
-    /** The part that does not depend on the prompt; milliseconds. */
+    /** Time to the first event that does not depend on the prompt; milliseconds. */
     public get fixedMs(): number {
         return Math.max(0, (this.sumY - this.sumX / this.tokensPerMs) / this.weight);
     }
--- a/src/decisions/placement/heldParts.ts
+++ b/src/decisions/placement/heldParts.ts
@@ -1,59 +1,63 @@
 /**
- * Which parts of prompts an engine is believed to keep, without asking it.
+ * Estimate of the prompt parts that an engine has cached, without a query to the engine.
  *
- * Load pattern: an engine's memory holds some ten seconds of prompts, and each prompt's own part, which nobody asks for again,
- * pushes out shared ones. A router that counts only parts it knows of believes for long in what others' prompts have pushed
- * out: of what four routers believed held, a third to a half was gone after fifteen seconds, and was read again.
+ * Load pattern: an engine's cache holds about ten seconds of prompts, and each prompt's own part, which is never requested again,
+ * evicts shared parts. A router that counted only its own parts would assume parts to be cached long after the prompts of other
+ * routers had evicted them: with four routers, a third to a half of the parts assumed to be cached were evicted after fifteen seconds,
+ * and had to be prefilled again.
  *
- * Engines drop what was used least recently. So a part is believed held until as many tokens as the engine keeps have been
- * written there since its last use, by all routers.
+ * Engines evict the least recently used parts. A part is therefore assumed to be cached until all routers together have written as many
+ * tokens to the engine since the part's last use as the engine's cache holds.
  */
 import { LRUCache } from "lru-cache";
 
-interface HeldPart {
+interface CachedPart {
     readonly tokens: number;
-    /** The engine's count of written tokens at the part's last use. */
-    readonly usedAt: number;
+    /** Number of tokens written to the engine up to the part's last reported use. */
+    readonly usedAtTokens: number;
 }
 
-/** Part of an engine's memory that is counted on; the margin covers what was written since the last word of other routers. */
-const cacheShare = 0.9;
-/** A use is reported when it is this part of a part's life after the last one that was. */
-const refreshShare = 0.25;
-/** A plain service's targets hold no parts; the cache wants a size all the same. */
-const leastCacheTokens = 1;
+/** Usable fraction of an engine's cache; the margin covers tokens written since the last report of other routers. */
+const usableCacheFraction = 0.9;
+/** A use is reported if at least this fraction of a part's lifetime has passed since the last reported use. */
+const refreshFraction = 0.25;
+/** Minimum cache size: targets of services without prompts cache no parts, but the LRU cache requires a positive size. */
+const minCacheTokens = 1;
 
-/** What one engine is believed to keep. */
+/** Estimated cache content of one engine. */
 export class HeldParts {
-    private readonly parts: LRUCache<string, HeldPart>;
-    private readonly lifeTokens: number;
-    private written = 0;
+    private readonly parts: LRUCache<string, CachedPart>;
+    private readonly lifetimeTokens: number;
+    private writtenTokens = 0;
 
-    /** `cacheTokens`: the engine's whole memory. */
+    /** `cacheTokens`: capacity of the engine's cache. */
     public constructor(cacheTokens: number) {
-        this.lifeTokens = Math.max(leastCacheTokens, Math.floor(cacheTokens * cacheShare));
+        this.lifetimeTokens = Math.max(minCacheTokens, Math.floor(cacheTokens * usableCacheFraction));
         this.parts = new LRUCache({
-            maxSize: this.lifeTokens,
+            maxSize: this.lifetimeTokens,
             sizeCalculation: part => Math.max(1, part.tokens),
         });
     }
 
+    /** Whether the part is assumed to be cached. */
     public has(partId: string): boolean {
         const part = this.parts.peek(partId);
-        return part !== undefined && this.written - part.usedAt <= this.lifeTokens;
+        return part !== undefined && this.writtenTokens - part.usedAtTokens <= this.lifetimeTokens;
     }
 
-    /** A request uses the part, which the engine then holds. True when it should be reported to peers. */
+    /** Records that a request uses the part, which the engine then has cached. True if the use should be reported to peers. */
     public recordUse(partId: string, tokens: number): boolean {
-        const before = this.parts.peek(partId);
-        const isFresh = before !== undefined && this.written - before.usedAt <= this.lifeTokens * refreshShare;
-        this.parts.set(partId, { tokens, usedAt: isFresh ? before.usedAt : this.written });
+        const previous = this.parts.peek(partId);
+        const isFresh =
+            previous !== undefined &&
+            this.writtenTokens - previous.usedAtTokens <= this.lifetimeTokens * refreshFraction;
+        this.parts.set(partId, { tokens, usedAtTokens: isFresh ? previous.usedAtTokens : this.writtenTokens });
         return !isFresh;
     }
 
-    /** Tokens of prompts and answers that the engine writes into its memory. */
+    /** Records tokens of prompts and responses that the engine writes to its cache. */
     public recordWritten(tokens: number): void {
-        this.written += tokens;
+        this.writtenTokens += tokens;
     }
 
     public remove(partId: string): void {
--- a/src/decisions/placement/placement.ts
+++ b/src/decisions/placement/placement.ts
@@ -1,40 +1,40 @@
 /**
- * Placement: which agent a request is offered to first.
+ * Placement: selects the agent that a request is offered to first.
  *
- * Load patterns: hot prefixes (a district roster shared by many route rebuilds), a slow or cold target, load reports that
- * are seconds old. Without affinity every target computes every roster anew; with affinity alone the target that holds
- * the hot roster gets a queue while others idle; by load alone all routers run to the one target that looked idle in the
+ * Load patterns: hot prefixes (a long prompt prefix shared by many requests), a slow or cold target, load reports that
+ * are seconds old. Without affinity every target computes every prefix again; with affinity alone the target that has cached
+ * the hot prefix builds up a queue while others are idle; by load alone all routers choose the same target that was idle in the
  * last report.
  *
- * Every candidate gets a score in milliseconds: expected wait, slowdown by a fuller batch, and distance; two candidates
- * per (account, prefix), picked by rendezvous hashing, get an advantage, as do targets known to hold the prefix. The
- * advantage is the computing time that the cached prefix saves, and at most `maxAffinityMs`. A target without room is no
- * candidate while one with room is known, so affinity beats an idle target only as far as reports are stale. Two candidates and not one, so that a hot prefix has somewhere to go
- * before it leaves the cache altogether. Near-equal scores are decided by chance, so that routers with equal, stale views
- * don't all run to one target.
+ * Every candidate has a score in milliseconds: expected wait, slowdown by a fuller batch, and distance. Two candidates
+ * per (account, prefix), selected by rendezvous hashing, have an advantage, as do targets that are reported to have cached the prefix.
+ * The advantage is the computing time that the cached prefix saves, limited to {@link maxAffinityMs}. A target without capacity is
+ * excluded while another one has capacity, so affinity outweighs an idle target only if reports are stale. There are two rendezvous
+ * candidates instead of one, so that a hot prefix has an alternative target when the first one is full. Near-equal scores are
+ * decided at random, so that routers with the same stale view don't all choose the same target.
  */
 import { hashToNumber, mixHashes } from "../../base/hash.js";
 import type { Random } from "../../base/random.js";
 
-/** An agent that could take the request. */
+/** An agent that can be offered the request. */
 export interface PlacementCandidate {
     readonly agentId: string;
     /** {@link computeNameHash} of the agent's id. */
     readonly nameHash: number;
     readonly dataCentre: string;
-    /** Requests the target may run at once. */
+    /** Maximum number of requests that the target runs concurrently. */
     readonly window: number;
-    /** Requests running or queued there, with those sent since the last report. */
+    /** Requests running or queued at the target, including those sent since the last report. */
     readonly load: number;
-    /** Requests of the same account that this router has waiting there. */
+    /** Requests of the same account that this router has waiting at the target. */
     readonly ownWaiting: number;
-    /** Smoothed time of one request; milliseconds; 0 when not known. */
+    /** Smoothed run time of one request; milliseconds; 0 if it has not been measured. */
     readonly serviceTimeMs: number;
-    /** Whether the target is known to hold the request's prefix; false also when hints are missing. */
+    /** Whether the target is reported to have cached the request's prefix; false also if there is no report. */
     readonly holdsPrefix: boolean;
 }
 
-/** What placement needs of a request. */
+/** Attributes of a request that placement depends on. */
 export interface PlacementRequest {
     /** {@link computeAffinityHash} of account and prefix; undefined without a prefix. */
     readonly affinityHash: number | undefined;
@@ -42,54 +42,59 @@
     readonly dataCentre: string;
 }
 
-/** Greatest wait that affinity may cost beyond an idle target; a quarter of a second is what a caller hardly notices. */
+/** Maximum additional wait for affinity compared with an idle target; callers hardly notice a quarter of a second. */
 export const maxAffinityMs = 250;
-/** Prefill speed of current engines, a few thousand tokens a second; rough, as it only scales a capped advantage. */
+/** Prefill time per token of current engines (a few thousand tokens per second); approximate, as it only scales a capped advantage. */
 const prefillMsPerToken = 0.2;
-/** A rendezvous candidate without a cache hint probably holds the prefix, but evictions and late events are common. */
-const rendezvousShare = 0.5;
+/**
+ * Fraction of the affinity advantage for a rendezvous candidate that is not reported to have cached the prefix. The prefix is probably
+ * cached there, but evictions and late reports are common.
+ */
+const rendezvousFraction = 0.5;
 const rendezvousCandidates = 2;
-/** Cost of leaving the data centre; they lie within a millisecond of one another. */
+/** Cost of sending a request to another data centre; the data centres are within a millisecond of one another. */
 const distanceMs = 1;
-/** A request in a full batch runs about this share of its time longer than alone; engine benchmarks vary from 0.2 to 1. */
+/** Relative slowdown of a request in a full batch compared with an otherwise idle engine; measured values range from 0.2 to 1. */
 const batchSlowdown = 0.25;
-/** Scores nearer than this can't be told apart, as reports are older than that. */
+/** Scores closer than this count as equal, as reports are not more accurate. */
 const tieBandMs = 0.5;
-const unknownServiceTimeMs = 100;
-/** Turn that another account's waiting request takes ahead of this one; small, as most of them are behind it. */
-const othersShare = 0.4;
+/** Service time assumed until it has been measured. */
+const defaultServiceTimeMs = 100;
+/** Fraction of other accounts' queued requests that are served before this request; small, as most of them are served after it. */
+const othersFraction = 0.4;
 
 /** A 32-bit hash of an agent's id, computed once per agent. */
 export function computeNameHash(agentId: string): number {
     return hashToNumber(agentId) >>> 0;
 }
 
-/** A 32-bit hash of (account, prefix): prefixes of two accounts never share a placement, so that no cache tells on another. */
+/** A 32-bit hash of (account, prefix). Each account has its own placements, so that caching doesn't reveal another account's prompts. */
 export function computeAffinityHash(clientAccount: string, prefixHash: string): number {
     return hashToNumber(`${clientAccount}\n${prefixHash}`) >>> 0;
 }
 
-/** The best candidate; undefined without candidates. Linear in the candidates, independent of what waits. */
+/** Selects the best candidate; undefined without candidates. Linear in the number of candidates, independent of queue lengths. */
 export function choosePlacement<T extends PlacementCandidate>(
     candidates: readonly T[],
     request: PlacementRequest,
     random: Random,
 ): T | undefined {
-    const allowed = listAllowed(candidates);
-    const affine = listRendezvous(candidates, request.affinityHash);
+    const eligible = listEligible(candidates);
+    const preferred = listRendezvous(candidates, request.affinityHash);
     const advantageMs = Math.min(maxAffinityMs, request.promptTokens * prefillMsPerToken);
-    const scored = allowed.map(candidate => {
-        const share = candidate.holdsPrefix ? 1 : affine.includes(candidate) ? rendezvousShare : 0;
-        return { candidate, score: computeBaseScore(candidate, request.dataCentre) - share * advantageMs };
+    const scored = eligible.map(candidate => {
+        const fraction = candidate.holdsPrefix ? 1 : preferred.includes(candidate) ? rendezvousFraction : 0;
+        return { candidate, score: computeBaseScore(candidate, request.dataCentre) - fraction * advantageMs };
     });
-    const limit = Math.min(...scored.map(entry => entry.score)) + tieBandMs;
-    const best = scored.filter(entry => entry.score <= limit);
+    const maxScore = Math.min(...scored.map(entry => entry.score)) + tieBandMs;
+    const best = scored.filter(entry => entry.score <= maxScore);
     return best[Math.floor(random.next() * best.length)]?.candidate;
 }
 
 /**
- * Expected wait of one more request; milliseconds. At a full target it is the time until enough slots come free: one per
- * request of the same account ahead, and a part of one per other, since the agent's fair queue lets accounts take turns.
+ * Expected wait of one more request; milliseconds. At a full target it is the time until enough slots are free: one for each
+ * queued request of the same account, and a fraction of one for each other queued request, as the agent's fair queue alternates
+ * between accounts.
  */
 function estimateWaitMs(candidate: PlacementCandidate): number {
     const { window, load, ownWaiting, serviceTimeMs } = candidate;
@@ -97,26 +102,26 @@
         return 0;
     }
     const others = Math.max(0, load - window - ownWaiting);
-    const ahead = 1 + ownWaiting + othersShare * others;
-    return (ahead * (serviceTimeMs || unknownServiceTimeMs)) / Math.max(1, window);
+    const requiredSlots = 1 + ownWaiting + othersFraction * others;
+    return (requiredSlots * (serviceTimeMs || defaultServiceTimeMs)) / Math.max(1, window);
 }
 
-/** Those with room, or else those where the fewest of the account's own requests wait. */
-function listAllowed<T extends PlacementCandidate>(candidates: readonly T[]): readonly T[] {
-    const withRoom = candidates.filter(candidate => candidate.load < candidate.window);
-    if (withRoom.length > 0) {
-        return withRoom;
+/** Candidates with capacity, or, if all are full, those with the fewest waiting requests of the account. */
+function listEligible<T extends PlacementCandidate>(candidates: readonly T[]): readonly T[] {
+    const available = candidates.filter(candidate => candidate.load < candidate.window);
+    if (available.length > 0) {
+        return available;
     }
-    const least = Math.min(...candidates.map(candidate => candidate.ownWaiting));
-    return candidates.filter(candidate => candidate.ownWaiting === least);
+    const minWaiting = Math.min(...candidates.map(candidate => candidate.ownWaiting));
+    return candidates.filter(candidate => candidate.ownWaiting === minWaiting);
 }
 
 function computeBaseScore(candidate: PlacementCandidate, dataCentre: string): number {
-    const serviceTimeMs = candidate.serviceTimeMs || unknownServiceTimeMs;
-    const fill = Math.min(1, candidate.load / Math.max(1, candidate.window));
+    const serviceTimeMs = candidate.serviceTimeMs || defaultServiceTimeMs;
+    const utilization = Math.min(1, candidate.load / Math.max(1, candidate.window));
     return (
         estimateWaitMs(candidate) +
-        batchSlowdown * fill * serviceTimeMs +
+        batchSlowdown * utilization * serviceTimeMs +
         (candidate.dataCentre === dataCentre ? 0 : distanceMs)
     );
 }
--- a/src/decisions/placement/promptPlacement.ts
+++ b/src/decisions/placement/promptPlacement.ts
@@ -1,29 +1,29 @@
 /**
- * Which engine reads a prompt.
+ * Placement of prompts: selects the engine that prefills a prompt.
  *
- * Load patterns: many requests share long prompt parts (a roster of 13,000 tokens), and prompt tokens read are what
- * engines run out of first. Sent to any engine, a request makes it read the shared part anew, and a fleet that could serve
- * everything serves a tenth; always sent to the part's home, a part that many ask for at once piles up a queue there while
- * others idle.
+ * Load patterns: many requests share long prompt parts (for example 13,000 tokens), and prefill capacity is the first resource that
+ * engines run out of. If requests were sent to any engine, each would prefill the shared part again, and a fleet that could serve
+ * all requests would serve a tenth of them. If they were always sent to the part's preferred target, a part that many requests share at
+ * the same time would cause a queue there while other engines are idle.
  *
- * Each candidate is charged the time until the request's own prompt has been read there: the tokens that wait there, and
- * those of the request that the engine does not hold. Reading a shared part once more costs others too, as it pushes
- * out other parts and holds up the batch, so such tokens count more than once. The home of a part that nobody holds
- * is the first by rendezvous hashing, the same for all routers without a word between them.
+ * The cost of a candidate is the time until the request's own prompt has been prefilled there: the tokens queued at the engine, and
+ * those of the request that the engine has not cached. Prefilling another copy of a shared part also delays other requests, as it evicts
+ * other parts and blocks the batch, so these tokens are weighted more. The preferred target of a part that no engine has cached
+ * is the first by rendezvous hashing, the same at all routers without exchanging messages.
  */
 import { hashFast, mixHashes } from "../../base/hash.js";
 
-/** An engine that could take the request. */
+/** An engine that can be sent the request. */
 export interface PromptCandidate {
     readonly id: string;
     /** 32-bit hash of the id. */
     readonly idHash: number;
     readonly dataCentre: string;
-    /** Prompt tokens that wait to be read there, from all routers. */
+    /** Prompt tokens queued for prefill at the engine, from all routers. */
     readonly waitingTokens: number;
     readonly running: number;
     readonly slots: number;
-    /** Whether a shared part of a prompt is believed to be held there. */
+    /** Whether the engine is assumed to have cached a shared part of a prompt. */
     hasPart(partId: string): boolean;
 }
 
@@ -33,70 +33,70 @@
     readonly tokens: number;
 }
 
-/** What it takes an engine to copy cached tokens from another one over their link. */
+/** Time that an engine takes to copy cached tokens from another engine over their link. */
 export interface CacheTransfer {
     readonly setupMs: number;
     readonly msPerToken: number;
 }
 
-/** What placement needs of a request. */
+/** Attributes of a request that placement depends on. */
 export interface PromptRequest {
-    /** In the prompt's order; the last one is the request's own. */
+    /** In the order of the prompt; the last part is the request's own, all others are shared. */
     readonly parts: readonly PlacedPart[];
     readonly promptTokens: number;
     readonly dataCentre: string;
     readonly tokensPerMs: number;
-    /** Undefined where engines can't copy from one another. */
+    /** Undefined if engines can't copy from one another. */
     readonly transfer: CacheTransfer | undefined;
 }
 
-/** Cached tokens that an engine copies from another one before it reads the rest. */
+/** Cached tokens that an engine copies from another engine before it prefills the rest of the prompt. */
 export interface PromptFetch<T> {
     readonly from: T;
     readonly tokens: number;
-    /** How long the copy takes; the request alone waits for it. */
+    /** Duration of the copy, which delays only this request; milliseconds. */
     readonly ms: number;
 }
 
-/** Where a request goes, and what it costs there. */
+/** The engine selected for a request, and the tokens to prefill there. */
 export interface PromptPlacement<T> {
     readonly candidate: T;
-    /** Undefined when the candidate holds as much as any other engine. */
+    /** Undefined if no copy is made, for example if no other engine has cached more of the prompt. */
     readonly fetch: PromptFetch<T> | undefined;
-    /** Tokens of the request that the engine has to read. */
+    /** Tokens of the request that the engine has to prefill. */
     readonly newTokens: number;
-    /** Tokens to be read up to and with the request's own. */
+    /** Tokens to prefill until the request's prompt is complete: those queued before and {@link newTokens}. */
     readonly tokensAhead: number;
 }
 
 /**
- * A shared token that is read once more counts this often: copies of hot parts push out parts that others ask for. The queue that a
- * home is worth waiting in grows with the factor.
+ * Weight of a shared token that has to be prefilled again: copies of hot parts evict other shared parts. With a higher
+ * factor, a request waits in a longer queue at an engine that has cached its shared part.
  */
-const rereadFactor = 6;
-/** Part of the cost of a missing shared part that the home of the part is spared, while nobody holds it. */
-const homeShare = 0.5;
-/** Cost of leaving the data centre; milliseconds. A body is some 20 KB, and the data centres lie about a millisecond apart. */
+const repeatedPrefillFactor = 6;
+/** Fraction by which the additional weight of a missing shared part is reduced at its preferred target. */
+const preferredTargetDiscount = 0.5;
+/** Cost of sending a request to another data centre; milliseconds. A body is some 20 KB, at a distance of about a millisecond. */
 const distanceMs = 4;
-/** Each running request slows the engine's steps, by about 5 % of a step's usual time in current engines; milliseconds. */
+/** Slowdown of the engine's steps by each running request, about 5 % of a step's usual time in current engines; milliseconds. */
 const batchMs = 1.5;
-/** A request too many for the batch waits for another one to end; milliseconds. */
+/** Expected wait for a slot at an engine whose batch is full; milliseconds. */
 const fullBatchMs = 1_000;
 
-/** A copied token counts this often: nobody waits for its reading, but it pushes out other parts and takes two links. */
+/** Weight of a copied token: no request waits for its prefill, but it evicts other parts and takes bandwidth of two links. */
 const copyFactor = 1.5;
-/** Fewer tokens than these are read in about the time that a copy takes to begin. */
-const leastFetchTokens = 256;
+/** Minimum number of tokens to copy: fewer are prefilled in about the setup time of a copy. */
+const minFetchTokens = 256;
 
 /**
- * The cheapest candidate; undefined without candidates. `sources`: engines that tokens may be copied from; `home`: where the last
- * shared part belongs while no engine keeps it.
+ * Selects the candidate of least cost; undefined without candidates. `sources`: engines that tokens may be copied from; `preferred`:
+ * preferred target of the last shared part while no engine has cached it.
  */
 export function choosePromptPlacement<T extends PromptCandidate>(
     candidates: readonly T[],
     request: PromptRequest,
     sources: readonly T[] = candidates,
-    home: T | undefined = findHome(candidates, request.parts[request.parts.length - 2]?.id),
+    preferred: T | undefined = findHome(candidates, request.parts[request.parts.length - 2]?.id),
 ): PromptPlacement<T> | undefined {
     const shared = request.parts.slice(0, -1);
     const sharedTokens = shared.reduce((sum, part) => sum + part.tokens, 0);
@@ -105,13 +105,14 @@
     let best: PromptPlacement<T> | undefined;
     let bestCost = Number.POSITIVE_INFINITY;
     for (const candidate of candidates) {
-        const held = sharedTokens - countMissingTokens(candidate, shared);
-        const fetch = createFetch(source, held, request.transfer);
-        const missing = sharedTokens - held - (fetch?.tokens ?? 0);
-        const newTokens = ownTokens + missing;
-        const reread = missing * (rereadFactor - 1) * (candidate === home ? 1 - homeShare : 1);
+        const cachedTokens = sharedTokens - countMissingTokens(candidate, shared);
+        const fetch = createFetch(source, cachedTokens, request.transfer);
+        const missingTokens = sharedTokens - cachedTokens - (fetch?.tokens ?? 0);
+        const newTokens = ownTokens + missingTokens;
+        const repeatedPrefillCost =
+            missingTokens * (repeatedPrefillFactor - 1) * (candidate === preferred ? 1 - preferredTargetDiscount : 1);
         const costMs =
-            (newTokens + reread + (fetch?.tokens ?? 0) * copyFactor) / request.tokensPerMs +
+            (newTokens + repeatedPrefillCost + (fetch?.tokens ?? 0) * copyFactor) / request.tokensPerMs +
             (fetch?.ms ?? 0) +
             computeLoadMs(candidate, request);
         if (costMs < bestCost) {
@@ -122,7 +123,7 @@
     return best;
 }
 
-/** What the candidate's load and distance cost a request, whatever it holds. */
+/** Cost of the candidate's load and distance, independent of the parts that it has cached; milliseconds. */
 function computeLoadMs(candidate: PromptCandidate, { tokensPerMs, dataCentre }: PromptRequest): number {
     return (
         candidate.waitingTokens / tokensPerMs +
@@ -137,7 +138,7 @@
     readonly tokens: number;
 }
 
-/** The engine that holds most of the shared parts. */
+/** Finds the engine that has cached the most tokens of the shared parts. */
 function findSource<T extends PromptCandidate>(
     sources: readonly T[],
     shared: readonly PlacedPart[],
@@ -155,16 +156,16 @@
 
 function createFetch<T>(
     source: Source<T> | undefined,
-    held: number,
+    cachedTokens: number,
     transfer: CacheTransfer | undefined,
 ): PromptFetch<T> | undefined {
-    const tokens = (source?.tokens ?? 0) - held;
-    return source === undefined || transfer === undefined || tokens < leastFetchTokens
+    const tokens = (source?.tokens ?? 0) - cachedTokens;
+    return source === undefined || transfer === undefined || tokens < minFetchTokens
         ? undefined
         : { from: source.engine, tokens, ms: transfer.setupMs + tokens * transfer.msPerToken };
 }
 
-/** Tokens of shared parts that the engine has to read: a part counts as held only while all before it are held too. */
+/** Tokens of shared parts that the engine has to prefill: a part counts as cached only if all parts before it are cached. */
 export function countMissingTokens(candidate: PromptCandidate, shared: readonly PlacedPart[]): number {
     let missing = 0;
     for (const part of shared) {
@@ -175,7 +176,7 @@
     return missing;
 }
 
-/** The engine that a shared part belongs to while none keeps it, the same for all routers that know the same engines. */
+/** Finds the preferred target of a shared part that no engine has cached; the same at all routers with the same list of engines. */
 export function findHome<T extends PromptCandidate>(
     candidates: readonly T[],
     partId: string | undefined,
@@ -184,14 +185,14 @@
         return undefined;
     }
     const partHash = hashFast(partId);
-    let home: T | undefined;
-    let greatest = -1;
+    let preferred: T | undefined;
+    let maxWeight = -1;
     for (const candidate of candidates) {
         const weight = mixHashes(partHash, candidate.idHash);
-        if (weight > greatest) {
-            greatest = weight;
-            home = candidate;
+        if (weight > maxWeight) {
+            maxWeight = weight;
+            preferred = candidate;
         }
     }
-    return home;
+    return preferred;
 }
--- a/src/decisions/placement/subset.ts
+++ b/src/decisions/placement/subset.ts
@@ -1,28 +1,29 @@
 /**
- * Which agents a router works with when there are too many for a full mesh.
+ * Selects the subset of agents that a router connects to when there are too many for a full mesh.
  *
- * Load pattern: hundreds of routers before thousands of targets. A full mesh costs every daemon an exchange with every
- * other one; subsets picked at random leave some agents with few routers (and so idle) and others with many.
+ * Load pattern: hundreds of routers and thousands of targets. In a full mesh every daemon exchanges messages with every
+ * other daemon; with random subsets some agents have few routers (and are therefore idle) and others have many.
  *
  * Each router takes a window of consecutive agents in a seeded order, and the windows of the sorted routers start at even
- * distances. Every agent is then in the windows of floor(routers x size / agents) routers or one more, and one agent more or
- * less moves each window by at most one place, so that a roster change reconnects at most two agents per router. Windows are
- * taken within each (data centre, services) group, so that the loss of a data centre takes the same share from every router.
- * Threshold: 20 agents (Google's SRE book, ch. 20, gives 20 to 100 connections as usual); at today's 16 it is everyone.
+ * distances. Every agent is then in the windows of floor(routers x size / agents) routers or one more. Adding or removing one agent
+ * moves each window by at most one position, so that a roster change reconnects at most two agents per router. Windows are
+ * taken within each (data centre, services) group, so that the loss of a data centre removes the same fraction of every router's agents.
+ * Threshold: 20 agents (Google's SRE book, ch. 20, gives 20 to 100 connections as usual); a fleet of up to 20 agents,
+ * for example 16, keeps the full mesh.
  */
 import { hashToNumber } from "../../base/hash.js";
 
-/** An agent as the subset decision sees it. */
+/** Attributes of an agent that the subset depends on. */
 export interface SubsetMember {
     readonly agentId: string;
     readonly dataCentre: string;
     readonly services: readonly string[];
 }
 
-/** Agents that each router works with when there are more. */
+/** Maximum number of agents that each router connects to. */
 export const defaultSubsetSize = 20;
 
-/** The agents that `routerId` works with; the same on every machine for the same arguments, in any order. */
+/** Selects the agents for `routerId`. The result is the same on every machine and doesn't depend on the order of ids and agents. */
 export function chooseSubset<T extends SubsetMember>(
     routerId: string,
     routerIds: readonly string[],
--- a/src/decisions/placement/targetOwners.ts
+++ b/src/decisions/placement/targetOwners.ts
@@ -1,23 +1,23 @@
 /**
- * Which router owns a target, the same in all routers' views without a message between them.
+ * Selects the router that owns a target. All routers with the same view of the fleet select the same one without exchanging messages.
  *
- * The first live router by rendezvous hashing over target and router owns it. A router that does not answer is passed over for a
- * while, longer each time, and the next one takes its place at once. Two routers may be taken for the owner for as long
- * as views of who is there differ; each then keeps its own books, and what they grant together is bounded by twice the limit.
+ * The owner is the first live router by rendezvous hashing over target and router. A router that does not reply is skipped for an
+ * increasing time, and the next one in the ranking replaces it immediately. Two routers may be selected as the owner while
+ * views of the live routers differ; each then has its own accounting, and their grants together are bounded by twice the limit.
  */
 import { hashFast, mixHashes } from "../../base/hash.js";
 
-/** First time for which a router that did not answer is passed over; doubles with each further silence. */
-const firstSuspicionMs = 500;
-const longestSuspicionMs = 8_000;
-/** Owners tried in order of their weight; of so many in a row one is alive unless most of the fleet is gone. */
+/** Initial time for which a router that did not reply is skipped; doubles with each further timeout. */
+const initialSuspicionMs = 500;
+const maxSuspicionMs = 8_000;
+/** Number of ranked routers per target: one of them is alive unless most of the fleet has failed. */
 const rankedOwners = 4;
-/** A ranking is computed anew this often: the routers known change within seconds. */
+/** Time after which a ranking is recomputed, as the list of routers may have changed; milliseconds. */
 const rankingTtlMs = 1_000;
 
 interface Suspicion {
     untilMs: number;
-    pauseMs: number;
+    durationMs: number;
 }
 
 interface Ranking {
@@ -30,27 +30,28 @@
     private readonly suspicions = new Map<string, Suspicion>();
     private readonly rankings = new Map<number, Ranking>();
 
-    /** `getRouterIds`: routers believed live, this one included. */
+    /** `getRouterIds`: routers considered live, including this one. */
     public constructor(private readonly getRouterIds: () => readonly string[]) {}
 
-    /** The owner of the target; undefined: all that could be it are silent. */
+    /** Id of the router that owns the target; undefined if all ranked routers are being skipped. */
     public find(targetHash: number, nowMs: number): string | undefined {
         return this.findRanking(targetHash, nowMs).routerIds.find(
             id => (this.suspicions.get(id)?.untilMs ?? Number.NEGATIVE_INFINITY) <= nowMs,
         );
     }
 
-    /** The router did not answer in time. */
+    /** Records that the router did not reply in time. */
     public recordSilence(routerId: string, nowMs: number): void {
-        const before = this.suspicions.get(routerId);
-        if (before !== undefined && before.untilMs > nowMs) {
+        const previous = this.suspicions.get(routerId);
+        if (previous !== undefined && previous.untilMs > nowMs) {
             return;
         }
-        const pauseMs = before === undefined ? firstSuspicionMs : Math.min(longestSuspicionMs, before.pauseMs * 2);
-        this.suspicions.set(routerId, { untilMs: nowMs + pauseMs, pauseMs });
+        const durationMs =
+            previous === undefined ? initialSuspicionMs : Math.min(maxSuspicionMs, previous.durationMs * 2);
+        this.suspicions.set(routerId, { untilMs: nowMs + durationMs, durationMs });
     }
 
-    /** The router answered. */
+    /** Records a reply of the router, which ends its suspicion. */
     public recordAnswer(routerId: string): void {
         this.suspicions.delete(routerId);
     }
--- a/src/decisions/structures/idMemory.ts
+++ b/src/decisions/structures/idMemory.ts
@@ -1,4 +1,4 @@
-/** How long and how many ids are remembered. */
+/** Retention time and maximum number of ids. */
 export interface IdMemoryBounds {
     readonly keepForMs: number;
     readonly maxIds: number;
@@ -10,14 +10,14 @@
     newestAtMs: number;
 }
 
-/** Ids are dropped a generation at a time; with eight, at most an eighth more than needed is held. */
+/** Ids are evicted one generation at a time; with eight generations, at most an eighth more ids than necessary are kept. */
 const generationCount = 8;
 
 /**
- * Remembers ids for at least a given time, in bounded memory, and knows when it has had to forget too early.
+ * A set of recently added ids with a minimum retention time and bounded memory, which records whether ids were evicted too early.
  *
- * "Never seen here" is true only as long as nothing that was seen has been forgotten. After ids were dropped for want
- * of room, {@link isComplete} is false until their time has passed, and the caller must not claim to know.
+ * A missing id proves that it was not added recently only while no id has been evicted early. After an eviction because of the size
+ * limit, {@link isComplete} is false until the retention time of the evicted ids has passed; until then a missing id proves nothing.
  */
 export class IdMemory {
     private readonly generations: Generation[] = [];
@@ -41,7 +41,7 @@
         }
     }
 
-    /** Whether an id that is not found was surely not added within the time kept. */
+    /** Whether an id that is not found is certain not to have been added within the retention time. */
     public isComplete(nowMs: number): boolean {
         return nowMs >= this.incompleteUntilMs;
     }
--- a/src/decisions/structures/indexedHeap.ts
+++ b/src/decisions/structures/indexedHeap.ts
@@ -4,15 +4,15 @@
     order: number;
 }
 
-/** A key with its priority, as {@link IndexedHeap.getLeast} shows it. */
+/** A key with its priority, as returned by {@link IndexedHeap.getLeast}. */
 export interface HeapEntry<K> {
     readonly key: K;
     readonly priority: number;
 }
 
 /**
- * A binary heap whose entries can be found, moved and removed by key; each step costs O(log n).
- * Entries of equal priority come out in the order of their last update, so that equals take turns.
+ * A binary min-heap whose entries can be found, updated and removed by key; each operation costs O(log n).
+ * Entries of equal priority are ordered by their last update, which gives a round robin among them.
  */
 export class IndexedHeap<K> {
     private readonly nodes: HeapNode<K>[] = [];
@@ -27,7 +27,7 @@
         return this.positions.has(key);
     }
 
-    /** Adds the key, or moves it when it is there already. */
+    /** Adds the key, or updates its priority if it is in the heap already. */
     public set(key: K, priority: number): void {
         const order = this.nextOrder;
         this.nextOrder += 1;
@@ -47,7 +47,7 @@
         this.sortDown(this.sortUp(position));
     }
 
-    /** Removes the key; false when it was not there. */
+    /** Removes the key; false if it was not in the heap. */
     public remove(key: K): boolean {
         const position = this.positions.get(key);
         if (position === undefined) {
@@ -63,7 +63,7 @@
         return true;
     }
 
-    /** The entry of least priority, left in place. */
+    /** The entry with the lowest priority value, without removing it. */
     public getLeast(): HeapEntry<K> | undefined {
         return this.nodes[0];
     }
--- a/src/decisions/structures/routeTable.ts
+++ b/src/decisions/structures/routeTable.ts
@@ -1,4 +1,4 @@
-/** What a route table needs of a route. */
+/** Attributes of a route that the route table matches. */
 export interface RoutePattern {
     /** Lower case, without a port. */
     readonly host: string;
@@ -6,26 +6,26 @@
     readonly pathPrefix: string;
 }
 
-/** Finds a request's route by its host and the longest path prefix. */
+/** Finds the route of a request by its host and the longest matching path prefix. */
 export class RouteTable<T extends RoutePattern> {
-    /** Per host, the longest prefix first, so that the first match is the longest. */
+    /** Routes of each host, sorted by descending prefix length, so that the first match is the longest. */
     private readonly byHost = new Map<string, T[]>();
 
     public constructor(routes: readonly T[]) {
         for (const route of routes) {
-            const known = this.byHost.get(route.host) ?? [];
-            known.push(route);
-            this.byHost.set(route.host, known);
+            const hostRoutes = this.byHost.get(route.host) ?? [];
+            hostRoutes.push(route);
+            this.byHost.set(route.host, hostRoutes);
         }
-        for (const known of this.byHost.values()) {
-            known.sort((a, b) => b.pathPrefix.length - a.pathPrefix.length);
+        for (const hostRoutes of this.byHost.values()) {
+            hostRoutes.sort((a, b) => b.pathPrefix.length - a.pathPrefix.length);
         }
     }
 
-    /** `host`: as in the `Host` header; `target`: path with an optional query. Undefined: no route takes it. */
+    /** `host`: value of the `Host` header; `target`: path with an optional query. Undefined if no route matches. */
     public find(host: string, target: string): T | undefined {
         const path = target.split("?", 1)[0];
-        const name = host.replace(/:\d*$/, "").toLowerCase();
-        return this.byHost.get(name)?.find(route => path.startsWith(route.pathPrefix));
+        const hostName = host.replace(/:\d*$/, "").toLowerCase();
+        return this.byHost.get(hostName)?.find(route => path.startsWith(route.pathPrefix));
     }
 }
--- a/src/decisions/structures/runningQuantile.ts
+++ b/src/decisions/structures/runningQuantile.ts
@@ -1,10 +1,11 @@
-/** Step in the logarithm after many samples; follows a change of habit within some dozens of requests. */
+/** Step on the logarithmic scale after many samples; the quantile adapts to a changed distribution within some dozens of requests. */
 const settledStep = 0.15;
 const firstStep = 1;
 
 /**
- * A running quantile of positive samples in constant memory, by stochastic approximation (Robbins and Monro, 1951) on
- * the logarithm: costs spread over orders of magnitude, and a step there is a ratio, which needs no scale.
+ * A running quantile of non-negative samples in constant memory, by stochastic approximation (Robbins and Monro, 1951) on
+ * the logarithm: samples such as costs range over orders of magnitude, and a step on the logarithmic scale is a ratio, independent
+ * of the unit.
  */
 export class RunningQuantile {
     private logarithm: number | undefined;
@@ -27,7 +28,7 @@
         const step = Math.max(settledStep, firstStep / this.samples);
         const distance = logarithm - this.logarithm;
         const change = distance > 0 ? step * this.quantile : -step * (1 - this.quantile);
-        // Never beyond the sample, so that equal samples give exactly that value.
+        // Limited to the sample, so that a series of equal samples converges to exactly their value.
         this.logarithm += Math.abs(change) > Math.abs(distance) ? distance : change;
     }
 }
--- a/src/decisions/structures/windowedSum.ts
+++ b/src/decisions/structures/windowedSum.ts
@@ -1,17 +1,17 @@
-/** Parts that the span is cut into; the sum is exact to one part. */
-const partCount = 8;
+/** Number of buckets of the window; the sum is accurate to one bucket. */
+const bucketCount = 8;
 
-/** A sum over about the last span of time, in constant memory. */
+/** A sum over a sliding time window in constant memory, accurate to one bucket of the window. */
 export class WindowedSum {
-    private readonly parts = new Array<number>(partCount).fill(0);
-    private newestPart = -partCount;
+    private readonly buckets = new Array<number>(bucketCount).fill(0);
+    private newestBucket = -bucketCount;
     private total = 0;
 
-    public constructor(private readonly spanMs: number) {}
+    public constructor(private readonly windowMs: number) {}
 
     public add(amount: number, nowMs: number): void {
         this.advance(nowMs);
-        this.parts[this.newestPart % partCount] += amount;
+        this.buckets[this.newestBucket % bucketCount] += amount;
         this.total += amount;
     }
 
@@ -20,31 +20,31 @@
         return Math.max(0, this.total);
     }
 
-    /** The same over the newest part of the span alone; what is older than a part of it counts in proportion. */
+    /** Sum over the last `recentMs` of the window; a bucket that is only partly within that time counts in proportion. */
     public getRecent(recentMs: number, nowMs: number): number {
         this.advance(nowMs);
-        const partMs = this.spanMs / partCount;
-        let leftMs = Math.min(recentMs, this.spanMs);
-        let coveredMs = nowMs - this.newestPart * partMs;
+        const bucketMs = this.windowMs / bucketCount;
+        let remainingMs = Math.min(recentMs, this.windowMs);
+        let coveredMs = nowMs - this.newestBucket * bucketMs;
         let sum = 0;
-        for (let step = 0; step < partCount && leftMs > 0; step++) {
-            const amount = this.parts[(this.newestPart - step + partCount) % partCount];
-            sum += leftMs >= coveredMs ? amount : (amount * leftMs) / coveredMs;
-            leftMs -= coveredMs;
-            coveredMs = partMs;
+        for (let step = 0; step < bucketCount && remainingMs > 0; step++) {
+            const amount = this.buckets[(this.newestBucket - step + bucketCount) % bucketCount];
+            sum += remainingMs >= coveredMs ? amount : (amount * remainingMs) / coveredMs;
+            remainingMs -= coveredMs;
+            coveredMs = bucketMs;
         }
         return Math.max(0, sum);
     }
 
     private advance(nowMs: number): void {
-        const part = Math.max(this.newestPart, Math.floor((nowMs * partCount) / this.spanMs));
-        const steps = Math.min(partCount, part - this.newestPart);
+        const bucket = Math.max(this.newestBucket, Math.floor((nowMs * bucketCount) / this.windowMs));
+        const steps = Math.min(bucketCount, bucket - this.newestBucket);
         for (let step = 0; step < steps; step++) {
-            // The clock's zero point is the process's start, so that the first parts before it have negative numbers.
-            const index = (part - step + partCount) % partCount;
-            this.total -= this.parts[index];
-            this.parts[index] = 0;
+            // The clock starts at 0 with the process, so the buckets before that have negative numbers.
+            const index = (bucket - step + bucketCount) % bucketCount;
+            this.total -= this.buckets[index];
+            this.buckets[index] = 0;
         }
-        this.newestPart = part;
+        this.newestBucket = bucket;
     }
 }
