--- a/test/decisions/admission/backlog.test.ts
+++ b/test/decisions/admission/backlog.test.ts
@@ -10,17 +10,17 @@
     });
 
 describe("Backlog", () => {
-    it("lets lanes take turns by weight whatever their length", () => {
+    it("schedules lanes by weight, whatever their length", () => {
         const backlog = new Backlog();
-        Array.from({ length: 100 }).forEach((...[, index]) => backlog.add("flood", 1, `flood-${index}`));
-        Array.from({ length: 4 }).forEach((...[, index]) => backlog.add("club", 1, `club-${index}`));
-        Array.from({ length: 8 }).forEach((...[, index]) => backlog.add("department", 2, `department-${index}`));
+        Array.from({ length: 100 }).forEach((...[, index]) => backlog.add("long", 1, `long-${index}`));
+        Array.from({ length: 4 }).forEach((...[, index]) => backlog.add("short", 1, `short-${index}`));
+        Array.from({ length: 8 }).forEach((...[, index]) => backlog.add("heavy", 2, `heavy-${index}`));
         expect(takeAll(backlog, 16).join(" ")).toMatchInlineSnapshot(
-            `"flood-0 club-0 department-0 department-1 flood-1 club-1 department-2 department-3 flood-2 club-2 department-4 department-5 flood-3 club-3 department-6 department-7"`,
+            `"long-0 short-0 heavy-0 heavy-1 long-1 short-1 heavy-2 heavy-3 long-2 short-2 heavy-4 heavy-5 long-3 short-3 heavy-6 heavy-7"`,
         );
     });
 
-    it("passes over a lane that can't go on until it can", () => {
+    it("skips a blocked lane until its state changes", () => {
         const backlog = new Backlog();
         backlog.add("blocked", 1, "b1");
         backlog.add("free", 1, "f1");
@@ -34,7 +34,7 @@
         ]);
     });
 
-    it("keeps each lane's order over any adds, returns and removals", () => {
+    it("preserves each lane's order over any sequence of adds at either end, takes and removals", () => {
         const command = fc.record({
             kind: fc.constantFrom("add" as const, "addFirst" as const, "remove" as const, "take" as const),
             pick: fc.nat({ max: 100 }),
--- a/test/decisions/admission/connectionHandOver.test.ts
+++ b/test/decisions/admission/connectionHandOver.test.ts
@@ -7,27 +7,27 @@
 const busy: Neighbour = { routerId: "busy", processorShare: 0.25, utilization: 0.7 };
 const perSecond = 150;
 
-/** Offers a second's connections of a flood; counts those that each neighbour took. */
-function countTaken(ownUtilization: number, neighbours: readonly Neighbour[]): Readonly<Record<string, number>> {
+/** Offers the connections of one second of overload; counts those handed over to each neighbour. */
+function countHandedOver(ownUtilization: number, neighbours: readonly Neighbour[]): Readonly<Record<string, number>> {
     const handOver = new ConnectionHandOver();
     const random = new SeededRandom(seed);
-    const taken: Record<string, number> = {};
+    const counts: Record<string, number> = {};
     for (let index = 0; index < perSecond; index++) {
         const routerId = handOver.choose(ownUtilization, neighbours, random, (index * 1_000) / perSecond);
         if (routerId !== undefined) {
-            taken[routerId] = (taken[routerId] ?? 0) + 1;
+            counts[routerId] = (counts[routerId] ?? 0) + 1;
         }
     }
-    return taken;
+    return counts;
 }
 
-describe("a router's new connections", () => {
-    it("stay with it while it keeps up", () => {
-        expect(countTaken(0.6, [idle])).toEqual({});
+describe("handover of a router's new connections", () => {
+    it("hands over no connection while the router is not overloaded", () => {
+        expect(countHandedOver(0.6, [idle])).toEqual({});
     });
 
-    it("go to neighbours with time to spare while it is saturated, and to none that is near its limit", () => {
-        expect(countTaken(0.95, [idle, { ...idle, routerId: "other" }, busy])).toMatchInlineSnapshot(`
+    it("hands over connections of a saturated router to neighbours with spare capacity only", () => {
+        expect(countHandedOver(0.95, [idle, { ...idle, routerId: "other" }, busy])).toMatchInlineSnapshot(`
           {
             "idle": 35,
             "other": 35,
@@ -35,9 +35,9 @@
         `);
     });
 
-    // Reports are a second old: a neighbour that looks idle must not get a whole flood until its next report.
-    it("do not saturate a neighbour before its next report", () => {
-        const mostRequests = ((0.65 - idle.utilization) * idle.processorShare) / 0.004;
-        expect(countTaken(0.95, [idle]).idle).toBeLessThanOrEqual(Math.ceil(mostRequests));
+    // Reports are a second old: a neighbour that was reported idle must not be handed all connections of an overload until its next report.
+    it("does not saturate a neighbour before its next report", () => {
+        const maxRequests = ((0.65 - idle.utilization) * idle.processorShare) / 0.004;
+        expect(countHandedOver(0.95, [idle]).idle).toBeLessThanOrEqual(Math.ceil(maxRequests));
     });
 });
--- a/test/decisions/admission/denialMemory.test.ts
+++ b/test/decisions/admission/denialMemory.test.ts
@@ -1,38 +1,38 @@
 import { expect, it } from "vitest";
 import { DenialMemory } from "../../../src/decisions/admission/denialMemory.js";
 
-/** An idle router of ten, all of which the account reaches. */
+/** An idle router in a fleet of ten, with an account that connects to all of them. */
 const spread = { utilization: 0.1, accountPart: 0.1, routerCount: 10 };
 
-it("holds a denial for the account that was denied, for as little of the limit, until an engine has room", () => {
-    const memory = new DenialMemory();
-    memory.record("flood", 0.4, 20, spread, 1_000);
-    memory.record("other", 0.4, 500, spread, 1_000);
+it("caches a denial for the denied account, up to the same usage limit, until an engine has capacity", () => {
+    const cache = new DenialMemory();
+    cache.record("heavy", 0.4, 20, spread, 1_000);
+    cache.record("other", 0.4, 500, spread, 1_000);
     expect({
-        same: memory.computeDeniedMs("flood", 0.4, 1_005),
-        less: memory.computeDeniedMs("flood", 0.1, 1_005),
-        more: memory.computeDeniedMs("flood", 0.5, 1_005),
-        later: memory.computeDeniedMs("flood", 0.4, 1_020),
-        neighbour: memory.computeDeniedMs("small", 0.4, 1_005),
-        atMost: memory.computeDeniedMs("other", 0.4, 1_000),
+        sameUsage: cache.computeDeniedMs("heavy", 0.4, 1_005),
+        lowerUsage: cache.computeDeniedMs("heavy", 0.1, 1_005),
+        higherUsage: cache.computeDeniedMs("heavy", 0.5, 1_005),
+        afterExpiry: cache.computeDeniedMs("heavy", 0.4, 1_020),
+        otherAccount: cache.computeDeniedMs("small", 0.4, 1_005),
+        maximum: cache.computeDeniedMs("other", 0.4, 1_000),
     }).toMatchInlineSnapshot(`
       {
-        "atMost": 30,
-        "later": 0,
-        "less": 15,
-        "more": 0,
-        "neighbour": 0,
-        "same": 15,
+        "afterExpiry": 0,
+        "higherUsage": 0,
+        "lowerUsage": 15,
+        "maximum": 30,
+        "otherAccount": 0,
+        "sameUsage": 15,
       }
     `);
 });
 
-// Remembered for as long everywhere, an account at one router would ask owners a fraction of what one at all of them asks.
-it("holds a denial for as long as the account reaches routers, and for the longest time at a busy router", () => {
-    const memory = new DenialMemory();
-    memory.record("one", 0.4, 500, { ...spread, accountPart: 1 }, 1_000);
-    memory.record("some", 0.4, 500, { ...spread, accountPart: 0.2 }, 1_000);
-    memory.record("busy", 0.4, 500, { ...spread, accountPart: 1, utilization: 0.9 }, 1_000);
-    const held = ["one", "some", "busy"].map(account => Math.round(memory.computeDeniedMs(account, 0.4, 1_000)));
-    expect(held).toEqual([6, 30, 30]);
+// With the same time at all routers, an account at one router would cause a fraction of the grant requests of one at all routers.
+it("caches a denial in proportion to the routers that the account connects to, and for the maximum time at a busy router", () => {
+    const cache = new DenialMemory();
+    cache.record("one", 0.4, 500, { ...spread, accountPart: 1 }, 1_000);
+    cache.record("some", 0.4, 500, { ...spread, accountPart: 0.2 }, 1_000);
+    cache.record("busy", 0.4, 500, { ...spread, accountPart: 1, utilization: 0.9 }, 1_000);
+    const deniedMs = ["one", "some", "busy"].map(account => Math.round(cache.computeDeniedMs(account, 0.4, 1_000)));
+    expect(deniedMs).toEqual([6, 30, 30]);
 });
--- a/test/decisions/admission/engineBudget.test.ts
+++ b/test/decisions/admission/engineBudget.test.ts
@@ -10,8 +10,8 @@
     return { id, tokens: 4_000, mostAheadTokens: 20_000, mostUse: 1, spanMs, ...changes };
 }
 
-describe("an engine's budget", () => {
-    it("says when a request like the one it turns away could be granted", () => {
+describe("EngineBudget", () => {
+    it("returns the time after which a denied request could be granted", () => {
         const budget = new EngineBudget();
         const decisions = [
             budget.check(createRequest("a", { tokens: 9_000 }), rate, 0),
@@ -41,26 +41,26 @@
         `);
     });
 
-    // A datagram that arrives twice would otherwise use the engine up for a request that runs once.
-    it("books a request once however often it is asked for", () => {
+    // A duplicated datagram would otherwise be charged twice for a request that runs once.
+    it("records a request once, however often it is received", () => {
         const budget = new EngineBudget();
         const uses = [0, 10, 20].map(nowMs => budget.check(createRequest("a"), rate, nowMs).use);
         expect(uses).toEqual([uses[0], uses[0], uses[0]]);
     });
 
-    it("takes back what was not run, and counts what runs until it ends", () => {
+    it("revokes the grant of a request that was not executed, and counts a running request until it ends", () => {
         const budget = new EngineBudget();
         budget.check(createRequest("a", { tokens: 10_000 }), rate, 0);
         budget.recordEnd("a", false);
-        const afterReturn = budget.check(createRequest("b"), rate, 1);
+        const afterRevocation = budget.check(createRequest("b"), rate, 1);
         budget.recordStart("b");
         const waiting = budget.countWaiting(rate, 2);
         const running = budget.countRunning(2);
         budget.recordEnd("b", true);
-        expect([afterReturn.granted, waiting, running, budget.countRunning(3)]).toEqual([true, 0, 1, 0]);
+        expect([afterRevocation.granted, waiting, running, budget.countRunning(3)]).toEqual([true, 0, 1, 0]);
     });
 
-    it("grants no more than the engine has slots", () => {
+    it("grants no more requests than the engine has slots", () => {
         const budget = new EngineBudget();
         const granted = [0, 1, 2, 3, 4].map(
             index => budget.check(createRequest(`r${index}`, { tokens: 10 }), rate, index).granted,
@@ -68,15 +68,15 @@
         expect(granted).toEqual([true, true, true, true, false]);
     });
 
-    // Streams at the engine stand still while it reads: whatever is asked for, what it is given in any span stays below the
-    // limit and one prompt.
-    it("never gives more in a span than its limit and the last prompt", () => {
-        const asks = fc.array(
+    // Streams at the engine receive no tokens during prefill: whatever is requested, the tokens granted in any window stay below the
+    // limit plus one prompt.
+    it("never grants more in a window than its limit and the last prompt", () => {
+        const requests = fc.array(
             fc.record({ gapMs: fc.integer({ min: 0, max: 150 }), tokens: fc.integer({ min: 1, max: 8_000 }) }),
             { maxLength: 60 },
         );
         fc.assert(
-            fc.property(asks, list => {
+            fc.property(requests, list => {
                 const budget = new EngineBudget();
                 const granted: { readonly atMs: number; readonly tokens: number }[] = [];
                 let nowMs = 0;
@@ -85,9 +85,9 @@
                     if (budget.check(createRequest(`r${index}`, { tokens }), { ...rate, slots: 100 }, nowMs).granted) {
                         granted.push({ atMs: nowMs, tokens });
                     }
-                    const inSpan = granted.filter(({ atMs }) => nowMs - atMs < spanMs);
-                    const before = inSpan.slice(0, -1).reduce((sum, grant) => sum + grant.tokens, 0);
-                    expect(before).toBeLessThanOrEqual(limitTokens);
+                    const inWindow = granted.filter(({ atMs }) => nowMs - atMs < spanMs);
+                    const tokensBefore = inWindow.slice(0, -1).reduce((sum, grant) => sum + grant.tokens, 0);
+                    expect(tokensBefore).toBeLessThanOrEqual(limitTokens);
                 }
             }),
             { seed: 3, numRuns: 200 },
--- a/test/decisions/admission/promptAdmission.test.ts
+++ b/test/decisions/admission/promptAdmission.test.ts
@@ -14,15 +14,18 @@
 
 interface Load {
     readonly account: string;
-    /** Requests a second. */
+    /** Requests per second. */
     readonly rate: number;
 }
 
-/** Plays accounts' requests against one engine that reads in order; returns the tokens each account got. */
-function runLoad(loads: readonly Load[], tokensPerSecond: number): Record<string, { asked: number; got: number }> {
+/** Simulates the accounts' requests to one engine with a FIFO prefill queue; returns the tokens requested by and served to each account. */
+function runLoad(
+    loads: readonly Load[],
+    tokensPerSecond: number,
+): Record<string, { requested: number; served: number }> {
     const random = new SeededRandom(5);
     const shares = new AccountShares(windowMs);
-    const results = Object.fromEntries(loads.map(load => [load.account, { asked: 0, got: 0 }]));
+    const results = Object.fromEntries(loads.map(load => [load.account, { requested: 0, served: 0 }]));
     const idle = new IdleShare();
     let waitingTokens = 0;
     for (let nowMs = 0; nowMs < runMs; nowMs++) {
@@ -31,7 +34,7 @@
             if (random.next() >= rate / 1_000) {
                 continue;
             }
-            results[account].asked += promptTokens;
+            results[account].requested += promptTokens;
             shares.recordAsked(account, promptTokens, nowMs);
             const aloneMs = fixedMs + promptTokens / tokensPerMs;
             const expectedMs = aloneMs + waitingTokens / tokensPerMs;
@@ -48,7 +51,7 @@
             };
             if (checkPromptAdmission(view).admitted) {
                 waitingTokens += promptTokens;
-                results[account].got += promptTokens;
+                results[account].served += promptTokens;
                 shares.recordServed(account, promptTokens, nowMs);
             }
         }
@@ -57,29 +60,29 @@
 }
 
 describe("admission of prompts", () => {
-    // Two accounts ask for more than their fair share, one of them for four times as much as the other. Both are refused
-    // now and then; what the engine has left over went to the flooding one by a ratio of four, and the other account
-    // saw each second a refusal while it got a quarter of what its neighbour got.
-    it("levels out what accounts beyond their share get", () => {
+    // Two accounts request more than their fair share, one of them four times as much as the other. If both are refused at random, the
+    // engine's surplus is served at a ratio of four, so that the other account has a refusal every second and is served a quarter of
+    // the tokens.
+    it("distributes the surplus evenly among accounts beyond their share", () => {
         const results = runLoad(
             [
-                { account: "flood", rate: 20 },
+                { account: "heavy", rate: 20 },
                 { account: "large", rate: 5 },
                 { account: "small", rate: 0.5 },
             ],
             16_000,
         );
-        expect(results.large.got / Math.min(results.large.asked, results.flood.got)).toBeGreaterThan(0.5);
-        expect(results.small.got).toBe(results.small.asked);
-        expect(results.flood.got).toBeGreaterThan(results.large.got);
+        expect(results.large.served / Math.min(results.large.requested, results.heavy.served)).toBeGreaterThan(0.5);
+        expect(results.small.served).toBe(results.small.requested);
+        expect(results.heavy.served).toBeGreaterThan(results.large.served);
     });
 
-    it("keeps the engine busy when only one account asks, beyond its share", () => {
-        const { flood } = runLoad([{ account: "flood", rate: 30 }], 16_000);
-        expect(flood.got / (tokensPerMs * runMs)).toBeGreaterThan(0.85);
+    it("keeps the engine busy when a single account sends requests, beyond its share", () => {
+        const { heavy } = runLoad([{ account: "heavy", rate: 30 }], 16_000);
+        expect(heavy.served / (tokensPerMs * runMs)).toBeGreaterThan(0.85);
     });
 
-    it("takes a request that is late by its own length, and not one behind a queue", () => {
+    it("admits a request that is late by its own prefill, but not one that is late by a queue", () => {
         const view = {
             aloneMs: 900,
             objectiveMs: 800,
@@ -108,7 +111,7 @@
 });
 
 describe("the fair level", () => {
-    it("gives small accounts all, and large ones equal amounts", () => {
+    it("serves small accounts completely, and large ones equal amounts", () => {
         expect(computeFairLevel([10, 100, 200], 150)).toBe(70);
         expect(computeFairLevel([10, 20], 150)).toBe(Number.POSITIVE_INFINITY);
         expect(computeFairLevel([], 150)).toBe(Number.POSITIVE_INFINITY);
--- a/test/decisions/admission/promptLoad.test.ts
+++ b/test/decisions/admission/promptLoad.test.ts
@@ -1,20 +1,20 @@
 import { describe, expect, it } from "vitest";
 import { computeSum, isInTime, runPromptFleet } from "../../../bench/gateway/promptFleet.js";
 
-/** An engine's figures; two kinds, so that no decision hangs on one. */
+/** Parameters of two kinds of engine, so that results don't depend on a single one. */
 const engines = {
     large: { tokensPerMs: 85, chunkTokens: 4_096, stepMs: 4, tokensPerEvent: 8, pauseObjectiveMs: 400 },
     small: { tokensPerMs: 40, chunkTokens: 2_048, stepMs: 6, tokensPerEvent: 5, pauseObjectiveMs: 300 },
 } as const;
 
 interface Outcome {
-    readonly asked: number;
+    readonly requested: number;
     readonly admitted: number;
-    /** Of the admitted ones that ended. */
+    /** Fraction of the admitted requests that ended in time. */
     readonly inTime: number;
 }
 
-/** Plays accounts (requests a second each) against engines by the router's own decisions; what callers get by account. */
+/** Simulates accounts (requests per second each) and engines with the router's own decisions; returns the outcome per account. */
 function runLoad(kind: keyof typeof engines, rates: Readonly<Record<string, number>>): Record<string, Outcome> {
     const { pauseObjectiveMs, ...engine } = engines[kind];
     const { seconds, ended } = runPromptFleet(
@@ -24,7 +24,7 @@
             engineCount: 4,
             routerCount: 1,
             peerPeriodMs: 100,
-            // What the operators promise is less than what the engines read, since they generate as well.
+            // The guaranteed share is below the engines' prefill speed, since they also generate tokens.
             promisedShare: 0.4,
             runMs: 20_000,
             seed: 11,
@@ -38,7 +38,7 @@
             return [
                 account,
                 {
-                    asked: computeSum(seconds.get(account)!.map(second => second.requests)),
+                    requested: computeSum(seconds.get(account)!.map(second => second.requests)),
                     admitted: computeSum(seconds.get(account)!.map(second => second.admitted)),
                     inTime: inTime.length / Math.max(1, own.length),
                 },
@@ -47,42 +47,42 @@
     );
 }
 
-/** Of the requests of an account within its share; the aim for first tokens and pauses. */
-const leastServed = 0.95;
+/** Minimum fraction of requests of an account within its share that must be admitted, and in time; for first tokens and pauses. */
+const minFraction = 0.95;
 
-/** One account sends ten times as much as the others together. */
-function runFlood(kind: keyof typeof engines): readonly Outcome[] {
+/** One account sends more than six times as many requests as the others together. */
+function runOverload(kind: keyof typeof engines): readonly Outcome[] {
     const scale = engines[kind].tokensPerMs / engines.large.tokensPerMs;
     const { north, south } = runLoad(kind, { flood: 120 * scale, north: 12 * scale, south: 6 * scale });
     return [north, south];
 }
 
-describe("callers' streams beside an account that floods", () => {
-    it("begin: accounts within their share are let in at large engines", () => {
-        for (const { asked, admitted } of runFlood("large")) {
-            expect(admitted / asked).toBeGreaterThanOrEqual(leastServed);
+describe("accounts within their share while another account overloads the engines", () => {
+    it("are admitted at large engines", () => {
+        for (const { requested, admitted } of runOverload("large")) {
+            expect(admitted / requested).toBeGreaterThanOrEqual(minFraction);
         }
     });
 
-    // An account between three quarters and all of its share must not be refused like one beyond it.
-    it("begin: accounts within their share are let in at small engines", () => {
-        for (const { asked, admitted } of runFlood("small")) {
-            expect(admitted / asked).toBeGreaterThanOrEqual(leastServed);
+    // An account that uses between three quarters and all of its share must not be refused like one beyond its share.
+    it("are admitted at small engines", () => {
+        for (const { requested, admitted } of runOverload("small")) {
+            expect(admitted / requested).toBeGreaterThanOrEqual(minFraction);
         }
     });
 
-    // An event holds five tokens here, and five steps with a whole chunk each take less than the pause objective.
-    it("keep their pauses at engines whose events are short", () => {
-        for (const { inTime } of runFlood("small")) {
-            expect(inTime).toBeGreaterThanOrEqual(leastServed);
+    // An event has five tokens here, and five steps with a full prefill chunk each take less than the pause objective.
+    it("have streams in time at engines with few tokens per event", () => {
+        for (const { inTime } of runOverload("small")) {
+            expect(inTime).toBeGreaterThanOrEqual(minFraction);
         }
     });
 
-    // An engine that takes a prompt whenever it has nothing to read never lets its streams have a token: eight steps with a chunk
-    // lie between two events.
-    it("keep their pauses at engines whose events are long", () => {
-        for (const { inTime } of runFlood("large")) {
-            expect(inTime).toBeGreaterThanOrEqual(leastServed);
+    // An engine that is sent a prompt whenever its prefill queue is empty never generates tokens for its streams without delay: eight
+    // steps with a prefill chunk lie between two events.
+    it("have streams in time at engines with many tokens per event", () => {
+        for (const { inTime } of runOverload("large")) {
+            expect(inTime).toBeGreaterThanOrEqual(minFraction);
         }
     });
 });
--- a/test/decisions/admission/readingShare.test.ts
+++ b/test/decisions/admission/readingShare.test.ts
@@ -2,28 +2,28 @@
 import { SeededRandom } from "../../../src/base/random.js";
 import { ReadingShare } from "../../../src/decisions/admission/readingShare.js";
 
-/** Lets streams begin at engines whose share is in use; a stream is late the more often the further it lies above `bearable`. */
-function runStreams(share: ReadingShare, bearable: number, count: number): number {
+/** Records streams at engines whose share is fully used; a stream is the more likely late the further the share is above `tolerable`. */
+function runStreams(share: ReadingShare, tolerable: number, count: number): number {
     const random = new SeededRandom(1);
     for (let index = 0; index < count; index++) {
-        const lateChance = share.current <= bearable ? 0.01 : Math.min(1, (share.current - bearable) * 2);
+        const lateChance = share.current <= tolerable ? 0.01 : Math.min(1, (share.current - tolerable) * 2);
         share.observe(random.next() < lateChance, share.current);
     }
     return Number(share.current.toFixed(1));
 }
 
-describe("the share of its time that an engine may read", () => {
-    it.each([0.4, 0.9])("settles near what streams bear, %s", bearable => {
-        expect(Math.abs(runStreams(new ReadingShare(), bearable, 4_000) - bearable)).toBeLessThanOrEqual(0.1);
+describe("the prefill share of an engine", () => {
+    it.each([0.4, 0.9])("converges to the share that streams tolerate, %s", tolerable => {
+        expect(Math.abs(runStreams(new ReadingShare(), tolerable, 4_000) - tolerable)).toBeLessThanOrEqual(0.1);
     });
 
-    // A quiet night of streams that nothing disturbs would otherwise let the next flood in without a limit.
-    it("stays as it is while engines are idle", () => {
+    // Many undisturbed streams at low load would otherwise raise the share so far that the next overload is not limited.
+    it("is unchanged while engines are idle", () => {
         const share = new ReadingShare();
-        const before = share.current;
+        const initial = share.current;
         for (let index = 0; index < 1_000; index++) {
             share.observe(false, 0.1);
         }
-        expect(share.current).toBe(before);
+        expect(share.current).toBe(initial);
     });
 });
