--- a/test/decisions/admission/promptLoad.test.ts
+++ b/test/decisions/admission/promptLoad.test.ts
@@ -50,7 +50,7 @@
 /** Minimum fraction of requests of an account within its share that must be admitted, and in time; for first tokens and pauses. */
 const minFraction = 0.95;
 
-/** One account sends more than six times as many requests as the others together. */
+/** One account sends ten times as many requests as the larger of the two others. */
 function runOverload(kind: keyof typeof engines): readonly Outcome[] {
     const scale = engines[kind].tokensPerMs / engines.large.tokensPerMs;
     const { north, south } = runLoad(kind, { flood: 120 * scale, north: 12 * scale, south: 6 * scale });
--- a/test/decisions/placement/placement.test.ts
+++ b/test/decisions/placement/placement.test.ts
@@ -21,7 +21,7 @@
 const names = Array.from({ length: 13 }, (...[, index]) => `t${index + 1}`);
 const request = { affinityHash: undefined, promptTokens: 2_000, dataCentre: "a" };
 
-/** How often each agent is chosen in `rounds` placements. */
+/** Counts how often each agent is chosen in `rounds` placements. */
 function countChoices(
     candidates: readonly PlacementCandidate[],
     affinityHash: number | undefined,
@@ -37,7 +37,7 @@
 }
 
 describe("choosePlacement", () => {
-    it("spreads equal choices, so that routers with one view don't run to one target", () => {
+    it("distributes equal candidates, so that routers with the same view don't all choose one target", () => {
         const counts = Object.values(
             countChoices(
                 names.map(name => createCandidate(name)),
@@ -48,7 +48,7 @@
         expect([counts.length, Math.min(...counts) > 60, Math.max(...counts) < 150]).toEqual([13, true, true]);
     });
 
-    it("sends a hot prefix to its two targets, each account to its own", () => {
+    it("sends a hot prefix to two targets, which differ by account", () => {
         const candidates = names.map(name => createCandidate(name));
         const first = Object.keys(countChoices(candidates, computeAffinityHash("department", "roster")));
         const second = Object.keys(countChoices(candidates, computeAffinityHash("club", "roster")));
@@ -66,12 +66,12 @@
         `);
     });
 
-    it("follows a cache hint, and does without one", () => {
+    it("prefers a target that is reported to have cached the prefix", () => {
         const candidates = names.map(name => createCandidate(name, { holdsPrefix: name === "t9" }));
         expect(Object.keys(countChoices(candidates, computeAffinityHash("department", "roster")))).toEqual(["t9"]);
     });
 
-    it("never lets affinity wait while a target has room", () => {
+    it("prefers a target with capacity to a full one with affinity", () => {
         const candidates = names.map(name =>
             createCandidate(name, { holdsPrefix: name !== "t4", load: name === "t4" ? 15 : 16 }),
         );
@@ -84,7 +84,7 @@
         expect([countChoices(slow, undefined), countChoices(far, undefined)]).toEqual([{ t2: 200 }, { t2: 200 }]);
     });
 
-    it("puts an account's next request where none of its own waits when all are full", () => {
+    it("selects, when all targets are full, one where no request of the account waits", () => {
         const full = names.map(name =>
             createCandidate(name, { load: 20, ownWaiting: name === "t7" ? 0 : 1, holdsPrefix: name === "t1" }),
         );
--- a/test/decisions/placement/promptPlacement.test.ts
+++ b/test/decisions/placement/promptPlacement.test.ts
@@ -39,10 +39,10 @@
     transfer,
 };
 
-describe("where a prompt goes", () => {
-    // The engine that keeps the shared part has a second of reading before it. Others would have to read the part anew, in
-    // 83 ms that hold up everybody's stream there; copied, it takes 43 ms of the request's own time.
-    it("is an idle engine that copies the shared part, when the part's engine has a queue", () => {
+describe("choosePromptPlacement", () => {
+    // The engine that has cached the shared part has a second of prefill queued. Other engines would have to prefill the part again, in
+    // 83 ms that delay all streams there; a copy takes 43 ms of the request's own time.
+    it("selects an idle engine that copies the shared part, if the engine that has cached it has a queue", () => {
         const engines = [createEngine("holder", { parts: ["calendar"], waitingTokens: 60_000 }), createEngine("idle")];
         const placement = choosePromptPlacement(engines, request);
         expect({
@@ -62,81 +62,85 @@
         `);
     });
 
-    it("is the engine that keeps the part while its queue is shorter than a copy is worth", () => {
+    it("selects the engine that has cached the part while its queue costs less than a copy", () => {
         const engines = [createEngine("holder", { parts: ["calendar"], waitingTokens: 6_000 }), createEngine("idle")];
         const placement = choosePromptPlacement(engines, request);
         expect([placement?.candidate.id, placement?.fetch]).toEqual(["holder", undefined]);
     });
 
-    it("reads the part anew where engines can't copy, and copies from one that may not take the request", () => {
+    it("prefills the part again if engines can't copy, and copies from an engine that is no candidate", () => {
         const idle = createEngine("idle");
         const holder = createEngine("holder", { parts: ["calendar"] });
-        const without = choosePromptPlacement([idle], { ...request, transfer: undefined }, [holder, idle]);
-        const from = choosePromptPlacement([idle], request, [holder, idle]);
-        expect([without?.newTokens, without?.fetch, from?.fetch?.from.id]).toEqual([6_000, undefined, "holder"]);
+        const withoutCopy = choosePromptPlacement([idle], { ...request, transfer: undefined }, [holder, idle]);
+        const withCopy = choosePromptPlacement([idle], request, [holder, idle]);
+        expect([withoutCopy?.newTokens, withoutCopy?.fetch, withCopy?.fetch?.from.id]).toEqual([
+            6_000,
+            undefined,
+            "holder",
+        ]);
     });
 
-    it("does not copy a part that is read in the time that a copy takes to begin", () => {
+    it("does not copy a part that is prefilled within the setup time of a copy", () => {
         const small = { ...request, parts: [{ id: "calendar", tokens: 200 }, request.parts[1]], promptTokens: 1_200 };
         const engines = [createEngine("holder", { parts: ["calendar"], waitingTokens: 60_000 }), createEngine("idle")];
         expect(choosePromptPlacement(engines, small)?.fetch).toBeUndefined();
     });
 });
 
-describe("what an engine is believed to keep", () => {
+describe("the estimate of an engine's cached parts", () => {
     const cacheTokens = 100_000;
     const ownTokens = 6_000;
     const sharedTokens = 2_000;
 
-    // Other routers send an engine prompts whose own parts this router never hears of by name. They push a shared part out
-    // unseen; believed kept, it is read again for each request that is sent there for its sake.
-    it("ends when as many tokens as it keeps were written there by anybody", () => {
-        const held = new HeldParts(cacheTokens);
-        held.recordUse("calendar", sharedTokens);
-        const believed = [];
+    // Other routers send an engine prompts whose own parts are not reported to this router. These evict a shared part; if it were still
+    // assumed to be cached, it would be prefilled again for each request that is sent to the engine because of it.
+    it("drops a part when all routers together have written as many tokens as the cache holds", () => {
+        const estimate = new HeldParts(cacheTokens);
+        estimate.recordUse("calendar", sharedTokens);
+        const isCached = [];
         for (let written = 0; written <= cacheTokens; written += 25_000) {
-            believed.push(held.has("calendar"));
-            held.recordWritten(25_000);
+            isCached.push(estimate.has("calendar"));
+            estimate.recordWritten(25_000);
         }
-        expect(believed).toEqual([true, true, true, true, false]);
+        expect(isCached).toEqual([true, true, true, true, false]);
     });
 
-    it("tells others of a part that is new or was long unused, and not of each use", () => {
-        const held = new HeldParts(cacheTokens);
-        const told = [];
+    it("requests a report to peers for a part that is new or was not reported for long, and not for each use", () => {
+        const estimate = new HeldParts(cacheTokens);
+        const shouldReport = [];
         for (let use = 0; use < 5; use++) {
-            told.push(held.recordUse("calendar", sharedTokens));
-            held.recordWritten(ownTokens);
+            shouldReport.push(estimate.recordUse("calendar", sharedTokens));
+            estimate.recordWritten(ownTokens);
         }
-        expect(told).toEqual([true, false, false, false, true]);
+        expect(shouldReport).toEqual([true, false, false, false, true]);
     });
 
-    // Two routers send to one engine in turn, 40 shared parts with a skew. What the first one believes kept must be there:
-    // 0.88 of it was when routers counted only parts that they knew, and 0.99 is now.
-    it("is mostly true beside another router's requests", () => {
+    // Two routers send to one engine in random order, with 40 shared parts of skewed popularity. Parts that the first router assumes to be
+    // cached must be in the engine's cache: a fraction of 0.99 is; an estimate that counts only the router's own parts reaches 0.88.
+    it("is mostly correct while another router sends requests", () => {
         const random = new SeededRandom(3);
-        const held = new HeldParts(cacheTokens);
+        const estimate = new HeldParts(cacheTokens);
         const engine = new Map<string, number>();
-        let right = 0;
-        let believed = 0;
+        let correct = 0;
+        let estimated = 0;
         for (let index = 0; index < 4_000; index++) {
             const part = `part-${Math.floor(random.next() ** 2 * 40)}`;
             const isOwn = random.next() < 0.5;
-            if (isOwn && held.has(part)) {
-                believed += 1;
-                right += engine.has(part) ? 1 : 0;
+            if (isOwn && estimate.has(part)) {
+                estimated += 1;
+                correct += engine.has(part) ? 1 : 0;
             }
-            held.recordWritten(ownTokens + (engine.has(part) ? 0 : sharedTokens));
+            estimate.recordWritten(ownTokens + (engine.has(part) ? 0 : sharedTokens));
             addToEngine(engine, part, sharedTokens);
             addToEngine(engine, `own-${index}`, ownTokens);
             if (isOwn) {
-                held.recordUse(part, sharedTokens);
+                estimate.recordUse(part, sharedTokens);
             }
         }
-        expect(right / believed).toBeGreaterThan(0.95);
+        expect(correct / estimated).toBeGreaterThan(0.95);
     });
 
-    /** An engine's memory: what was used least recently makes room. */
+    /** Adds a part to an engine's cache and evicts the least recently used parts beyond its capacity. */
     function addToEngine(engine: Map<string, number>, part: string, tokens: number): void {
         engine.delete(part);
         engine.set(part, tokens);
--- a/test/decisions/placement/subset.test.ts
+++ b/test/decisions/placement/subset.test.ts
@@ -12,7 +12,7 @@
     }));
 
 describe("chooseSubset", () => {
-    it("gives every agent as many routers as any other, give or take one, whatever the sizes", () => {
+    it("assigns the same number of routers to every agent, within one, whatever the sizes", () => {
         fc.assert(
             fc.property(fc.integer({ min: 1, max: 60 }), fc.integer({ min: 1, max: 90 }), (routerCount, agentCount) => {
                 const routers = listNames("r", routerCount);
@@ -33,7 +33,7 @@
         );
     });
 
-    it("changes few connections when an agent comes, and none of the order of the arguments", () => {
+    it("changes few connections when an agent is added, and doesn't depend on the order of the arguments", () => {
         const routers = listNames("r", 40);
         const before = createAgents(90);
         const after = [...before, { agentId: "new", dataCentre: "a", services: ["model"] }];
--- a/test/decisions/placement/targetOwners.test.ts
+++ b/test/decisions/placement/targetOwners.test.ts
@@ -6,16 +6,16 @@
 const targetHashes = Array.from({ length: 84 }, (...[, index]) => hashFast(`target-${index}`));
 
 describe("the owner of a target", () => {
-    it("is the same for all routers that know the same ones, and most routers own something", () => {
+    it("is the same at all routers with the same list of routers, and targets are spread over most routers", () => {
         const owners = new TargetOwners(() => routerIds);
-        const others = new TargetOwners(() => [...routerIds].reverse());
-        const found = targetHashes.map(hash => owners.find(hash, 0));
-        expect(targetHashes.map(hash => others.find(hash, 0))).toEqual(found);
-        expect(new Set(found).size).toBeGreaterThan(routerIds.length / 2);
+        const reversed = new TargetOwners(() => [...routerIds].reverse());
+        const ownerIds = targetHashes.map(hash => owners.find(hash, 0));
+        expect(targetHashes.map(hash => reversed.find(hash, 0))).toEqual(ownerIds);
+        expect(new Set(ownerIds).size).toBeGreaterThan(routerIds.length / 2);
     });
 
-    // While an owner is dead or cut off, each request for its engines would wait out the timeout.
-    it("is passed over for longer each time it does not answer, until it does", () => {
+    // While an owner has failed or is unreachable, each request for its engines would otherwise wait for the timeout.
+    it("is skipped for a longer time after each timeout, until it replies", () => {
         const owners = new TargetOwners(() => routerIds);
         const [hash] = targetHashes;
         const first = owners.find(hash, 0)!;
@@ -33,7 +33,7 @@
         ]);
     });
 
-    it("is nobody while all that could be it are silent", () => {
+    it("is undefined while all routers are skipped after a timeout", () => {
         const owners = new TargetOwners(() => ["a", "b"]);
         owners.recordSilence("a", 0);
         owners.recordSilence("b", 0);
