--- a/src/decisions/admission/engineBudget.ts
+++ b/src/decisions/admission/engineBudget.ts
@@ -70,7 +70,7 @@
 /** Accounting of the grants of one engine. */
 export class EngineBudget {
     /** Grants in order of their times. */
-    private grants: Grant[] = [];
+    private entries: Grant[] = [];
     private readonly running = new Map<string, number>();
 
     /** Number of granted requests that have not ended. */
@@ -82,7 +82,7 @@
     /** Prompt tokens queued for prefill. */
     public countWaiting(rate: EngineRate, nowMs: number): number {
         this.removeOld(nowMs);
-        return this.grants.reduce((sum, grant) => sum + countQueued(grant, rate, nowMs), 0);
+        return this.entries.reduce((sum, grant) => sum + countQueued(grant, rate, nowMs), 0);
     }
 
     /** Decides on a request and records the grant. A request that is received twice is recorded once. */
@@ -111,16 +111,16 @@
     /** Records a request that is sent regardless of the limit. */
     public record({ id, tokens }: Pick<ReadingRequest, "id" | "tokens">, rate: EngineRate, nowMs: number): void {
         if (!this.running.has(id)) {
-            const freeAtMs = this.grants[this.grants.length - 1]?.prefilledAtMs ?? nowMs;
+            const freeAtMs = this.entries[this.entries.length - 1]?.prefilledAtMs ?? nowMs;
             const prefilledAtMs = Math.max(nowMs, freeAtMs) + tokens / rate.tokensPerMs;
-            this.grants.push({ id, tokens, grantedAtMs: nowMs, prefilledAtMs, hasStarted: false });
+            this.entries.push({ id, tokens, grantedAtMs: nowMs, prefilledAtMs, hasStarted: false });
             this.running.set(id, nowMs);
         }
     }
 
     /** Records that the engine has completed the prefill of the prompt. */
     public recordStart(id: string): void {
-        const grant = this.grants.find(candidate => candidate.id === id);
+        const grant = this.entries.find(candidate => candidate.id === id);
         if (grant !== undefined) {
             grant.hasStarted = true;
         }
@@ -132,33 +132,33 @@
         if (hasRun) {
             this.recordStart(id);
         } else {
-            this.grants = this.grants.filter(grant => grant.id !== id);
+            this.entries = this.entries.filter(grant => grant.id !== id);
         }
     }
 
     private countUsed(windowMs: number, nowMs: number): number {
-        return this.grants.reduce((sum, grant) => sum + (nowMs - grant.grantedAtMs < windowMs ? grant.tokens : 0), 0);
+        return this.entries.reduce((sum, grant) => sum + (nowMs - grant.grantedAtMs < windowMs ? grant.tokens : 0), 0);
     }
 
     /** Time until the limit has capacity for the request; a prompt larger than the limit waits until no grant is in the window. */
     private computeCapacityMs({ spanMs, tokens, mostUse }: ReadingRequest, limit: number, nowMs: number): number {
-        const used = this.grants.filter(grant => nowMs - grant.grantedAtMs < spanMs);
-        let usedTokens = used.reduce((sum, grant) => sum + grant.tokens, 0);
+        const used = this.entries.filter(grant => nowMs - grant.grantedAtMs < spanMs);
+        let activeTokens = used.reduce((sum, grant) => sum + grant.tokens, 0);
         let capacityMs = 0;
         const ownTokens = mostUse > 1 ? 0 : tokens * ownTokensWeight;
         for (const grant of used) {
-            if (usedTokens + ownTokens <= limit) {
+            if (activeTokens + ownTokens <= limit) {
                 break;
             }
-            usedTokens -= grant.tokens;
+            activeTokens -= grant.tokens;
             capacityMs = grant.grantedAtMs + spanMs - nowMs;
         }
         return capacityMs;
     }
 
     private removeOld(nowMs: number): void {
-        const firstKept = this.grants.findIndex(grant => nowMs - grant.grantedAtMs < maxWindowMs);
-        this.grants.splice(0, firstKept < 0 ? this.grants.length : firstKept);
+        const firstKept = this.entries.findIndex(grant => nowMs - grant.grantedAtMs < maxWindowMs);
+        this.entries.splice(0, firstKept < 0 ? this.entries.length : firstKept);
         for (const [id, grantedAtMs] of this.running) {
             if (nowMs - grantedAtMs < runTtlMs) {
                 break;
--- a/src/decisions/placement/heldParts.ts
+++ b/src/decisions/placement/heldParts.ts
@@ -28,7 +28,7 @@
 export class HeldParts {
     private readonly parts: LRUCache<string, CachedPart>;
     private readonly lifetimeTokens: number;
-    private writtenTokens = 0;
+    private written = 0;
 
     /** `cacheTokens`: capacity of the engine's cache. */
     public constructor(cacheTokens: number) {
@@ -42,22 +42,21 @@
     /** Whether the part is assumed to be cached. */
     public has(partId: string): boolean {
         const part = this.parts.peek(partId);
-        return part !== undefined && this.writtenTokens - part.usedAtTokens <= this.lifetimeTokens;
+        return part !== undefined && this.written - part.usedAtTokens <= this.lifetimeTokens;
     }
 
     /** Records that a request uses the part, which the engine then has cached. True if the use should be reported to peers. */
     public recordUse(partId: string, tokens: number): boolean {
         const previous = this.parts.peek(partId);
         const isFresh =
-            previous !== undefined &&
-            this.writtenTokens - previous.usedAtTokens <= this.lifetimeTokens * refreshFraction;
-        this.parts.set(partId, { tokens, usedAtTokens: isFresh ? previous.usedAtTokens : this.writtenTokens });
+            previous !== undefined && this.written - previous.usedAtTokens <= this.lifetimeTokens * refreshFraction;
+        this.parts.set(partId, { tokens, usedAtTokens: isFresh ? previous.usedAtTokens : this.written });
         return !isFresh;
     }
 
     /** Records tokens of prompts and responses that the engine writes to its cache. */
     public recordWritten(tokens: number): void {
-        this.writtenTokens += tokens;
+        this.written += tokens;
     }
 
     public remove(partId: string): void {
--- a/src/decisions/placement/targetOwners.ts
+++ b/src/decisions/placement/targetOwners.ts
@@ -17,7 +17,7 @@
 
 interface Suspicion {
     untilMs: number;
-    durationMs: number;
+    pauseMs: number;
 }
 
 interface Ranking {
@@ -46,9 +46,8 @@
         if (previous !== undefined && previous.untilMs > nowMs) {
             return;
         }
-        const durationMs =
-            previous === undefined ? initialSuspicionMs : Math.min(maxSuspicionMs, previous.durationMs * 2);
-        this.suspicions.set(routerId, { untilMs: nowMs + durationMs, durationMs });
+        const pauseMs = previous === undefined ? initialSuspicionMs : Math.min(maxSuspicionMs, previous.pauseMs * 2);
+        this.suspicions.set(routerId, { untilMs: nowMs + pauseMs, pauseMs });
     }
 
     /** Records a reply of the router, which ends its suspicion. */
--- a/src/decisions/structures/windowedSum.ts
+++ b/src/decisions/structures/windowedSum.ts
@@ -1,17 +1,17 @@
-/** Number of buckets of the window; the sum is accurate to one bucket. */
-const bucketCount = 8;
+/** Number of equal parts of the window; the sum is accurate to one part. */
+const partCount = 8;
 
-/** A sum over a sliding time window in constant memory, accurate to one bucket of the window. */
+/** A sum over a sliding time window in constant memory, accurate to one part of the window. */
 export class WindowedSum {
-    private readonly buckets = new Array<number>(bucketCount).fill(0);
-    private newestBucket = -bucketCount;
+    private readonly parts = new Array<number>(partCount).fill(0);
+    private newestPart = -partCount;
     private total = 0;
 
     public constructor(private readonly windowMs: number) {}
 
     public add(amount: number, nowMs: number): void {
         this.advance(nowMs);
-        this.buckets[this.newestBucket % bucketCount] += amount;
+        this.parts[this.newestPart % partCount] += amount;
         this.total += amount;
     }
 
@@ -20,31 +20,31 @@
         return Math.max(0, this.total);
     }
 
-    /** Sum over the last `recentMs` of the window; a bucket that is only partly within that time counts in proportion. */
+    /** Sum over the last `recentMs` of the window; a part that is only partly within that time counts in proportion. */
     public getRecent(recentMs: number, nowMs: number): number {
         this.advance(nowMs);
-        const bucketMs = this.windowMs / bucketCount;
+        const partMs = this.windowMs / partCount;
         let remainingMs = Math.min(recentMs, this.windowMs);
-        let coveredMs = nowMs - this.newestBucket * bucketMs;
+        let coveredMs = nowMs - this.newestPart * partMs;
         let sum = 0;
-        for (let step = 0; step < bucketCount && remainingMs > 0; step++) {
-            const amount = this.buckets[(this.newestBucket - step + bucketCount) % bucketCount];
+        for (let step = 0; step < partCount && remainingMs > 0; step++) {
+            const amount = this.parts[(this.newestPart - step + partCount) % partCount];
             sum += remainingMs >= coveredMs ? amount : (amount * remainingMs) / coveredMs;
             remainingMs -= coveredMs;
-            coveredMs = bucketMs;
+            coveredMs = partMs;
         }
         return Math.max(0, sum);
     }
 
     private advance(nowMs: number): void {
-        const bucket = Math.max(this.newestBucket, Math.floor((nowMs * bucketCount) / this.windowMs));
-        const steps = Math.min(bucketCount, bucket - this.newestBucket);
+        const part = Math.max(this.newestPart, Math.floor((nowMs * partCount) / this.windowMs));
+        const steps = Math.min(partCount, part - this.newestPart);
         for (let step = 0; step < steps; step++) {
-            // The clock starts at 0 with the process, so the buckets before that have negative numbers.
-            const index = (bucket - step + bucketCount) % bucketCount;
-            this.total -= this.buckets[index];
-            this.buckets[index] = 0;
+            // The clock starts at 0 with the process, so the parts before that have negative numbers.
+            const index = (part - step + partCount) % partCount;
+            this.total -= this.parts[index];
+            this.parts[index] = 0;
         }
-        this.newestBucket = bucket;
+        this.newestPart = part;
     }
 }
--- a/test/decisions/admission/promptAdmission.test.ts
+++ b/test/decisions/admission/promptAdmission.test.ts
@@ -19,13 +19,10 @@
 }
 
 /** Simulates the accounts' requests to one engine with a FIFO prefill queue; returns the tokens requested by and served to each account. */
-function runLoad(
-    loads: readonly Load[],
-    tokensPerSecond: number,
-): Record<string, { requested: number; served: number }> {
+function runLoad(loads: readonly Load[], tokensPerSecond: number): Record<string, { asked: number; served: number }> {
     const random = new SeededRandom(5);
     const shares = new AccountShares(windowMs);
-    const results = Object.fromEntries(loads.map(load => [load.account, { requested: 0, served: 0 }]));
+    const results = Object.fromEntries(loads.map(load => [load.account, { asked: 0, served: 0 }]));
     const idle = new IdleShare();
     let waitingTokens = 0;
     for (let nowMs = 0; nowMs < runMs; nowMs++) {
@@ -34,7 +31,7 @@
             if (random.next() >= rate / 1_000) {
                 continue;
             }
-            results[account].requested += promptTokens;
+            results[account].asked += promptTokens;
             shares.recordAsked(account, promptTokens, nowMs);
             const aloneMs = fixedMs + promptTokens / tokensPerMs;
             const expectedMs = aloneMs + waitingTokens / tokensPerMs;
@@ -72,8 +69,8 @@
             ],
             16_000,
         );
-        expect(results.large.served / Math.min(results.large.requested, results.heavy.served)).toBeGreaterThan(0.5);
-        expect(results.small.served).toBe(results.small.requested);
+        expect(results.large.served / Math.min(results.large.asked, results.heavy.served)).toBeGreaterThan(0.5);
+        expect(results.small.served).toBe(results.small.asked);
         expect(results.heavy.served).toBeGreaterThan(results.large.served);
     });
 
--- a/test/decisions/admission/promptLoad.test.ts
+++ b/test/decisions/admission/promptLoad.test.ts
@@ -8,7 +8,7 @@
 } as const;
 
 interface Outcome {
-    readonly requested: number;
+    readonly asked: number;
     readonly admitted: number;
     /** Fraction of the admitted requests that ended in time. */
     readonly inTime: number;
@@ -38,7 +38,7 @@
             return [
                 account,
                 {
-                    requested: computeSum(seconds.get(account)!.map(second => second.requests)),
+                    asked: computeSum(seconds.get(account)!.map(second => second.requests)),
                     admitted: computeSum(seconds.get(account)!.map(second => second.admitted)),
                     inTime: inTime.length / Math.max(1, own.length),
                 },
@@ -59,15 +59,15 @@
 
 describe("accounts within their share while another account overloads the engines", () => {
     it("are admitted at large engines", () => {
-        for (const { requested, admitted } of runOverload("large")) {
-            expect(admitted / requested).toBeGreaterThanOrEqual(minFraction);
+        for (const { asked, admitted } of runOverload("large")) {
+            expect(admitted / asked).toBeGreaterThanOrEqual(minFraction);
         }
     });
 
     // An account that uses between three quarters and all of its share must not be refused like one beyond its share.
     it("are admitted at small engines", () => {
-        for (const { requested, admitted } of runOverload("small")) {
-            expect(admitted / requested).toBeGreaterThanOrEqual(minFraction);
+        for (const { asked, admitted } of runOverload("small")) {
+            expect(admitted / asked).toBeGreaterThanOrEqual(minFraction);
         }
     });
 
--- a/test/decisions/structures/windowedSum.test.ts
+++ b/test/decisions/structures/windowedSum.test.ts
@@ -4,7 +4,7 @@
 const windowMs = 4_000;
 
 describe("WindowedSum", () => {
-    // The clock of a router starts at 0 with the process, and the buckets before that have negative numbers. As array indexes these would
+    // The clock of a router starts at 0 with the process, and the parts before that have negative numbers. As array indexes these would
     // give NaN, which is never greater than a limit, so that after a restart no account would ever be over its share.
     it("returns a number in the first seconds of a process", () => {
         const sum = new WindowedSum(windowMs);
@@ -13,7 +13,7 @@
         expect(sum.getTotal(1_200)).toBe(15);
     });
 
-    it("drops amounts older than the window, one bucket at a time", () => {
+    it("drops amounts older than the window, one part at a time", () => {
         const sum = new WindowedSum(windowMs);
         sum.add(10, 100);
         sum.add(1, 2_100);
@@ -28,7 +28,7 @@
         `);
     });
 
-    it("sums the most recent part of the window, with a proportion of the bucket that is only partly included", () => {
+    it("sums the end of the window, with a proportion of the part that is only partly included", () => {
         const sum = new WindowedSum(windowMs);
         sum.add(8, 100);
         sum.add(4, 3_100);
