--- a/src/decisions/admission/promptAdmission.ts
+++ b/src/decisions/admission/promptAdmission.ts
@@ -7,10 +7,10 @@
  * account's fair share are refused first.
  *
  * The router computes bounds ({@link computePromptBounds}): the maximum wait in the engine's queue, and the maximum fraction of
- * the engine's limit that the request may use. The engine's owner decides by its accounting. The more of the surplus an account beyond
- * its share has been served, the smaller the fraction of the limit that it may use: with one bound for all accounts, unused capacity
- * would go to the accounts with the highest request rate. If no owner replies, the router decides by its own estimates
- * ({@link checkPromptAdmission}).
+ * the engine's limit that the request may use. The engine's owner decides by its accounting. The more of the surplus (the capacity
+ * beyond the accounts' fair shares) an account beyond its share has been served, the smaller the fraction of the limit that it may use:
+ * with one bound for all accounts, the surplus would go to the accounts with the highest request rate. If no owner replies, the
+ * router decides by its own estimates ({@link checkPromptAdmission}).
  */
 import type { ShareUse } from "../shares/accountShares.js";
 
