--- a/src/decisions/admission/backlog.ts
+++ b/src/decisions/admission/backlog.ts
@@ -86,7 +86,7 @@
 
     /** The next request to schedule, without removing it; undefined if no lane is ready. */
     public findNext(): { readonly laneKey: string; readonly requestId: string } | undefined {
-        for (let lane = this.ready.getLeast()?.key; lane !== undefined; lane = this.ready.getLeast()?.key) {
+        for (let lane = this.ready.getMin()?.key; lane !== undefined; lane = this.ready.getMin()?.key) {
             const requestId = this.findHead(lane);
             if (requestId !== undefined) {
                 return { laneKey: lane.key, requestId };
@@ -98,7 +98,7 @@
 
     /** Removes the request that {@link findNext} returns and advances its lane's pass by the inverse of the lane's weight. */
     public takeNext(): void {
-        const lane = this.ready.getLeast()?.key;
+        const lane = this.ready.getMin()?.key;
         const requestId = lane === undefined ? undefined : this.findHead(lane);
         if (lane === undefined || requestId === undefined) {
             return;
@@ -112,7 +112,7 @@
 
     /** Marks the lane of {@link findNext} as blocked; it becomes ready again when its state changes or a request is added. */
     public stopNext(): void {
-        const lane = this.ready.getLeast()?.key;
+        const lane = this.ready.getMin()?.key;
         if (lane !== undefined) {
             this.ready.remove(lane);
         }
--- a/src/decisions/admission/denialMemory.ts
+++ b/src/decisions/admission/denialCache.ts
@@ -24,11 +24,11 @@
 const maxAccounts = 256;
 
 /** Load of the router that requests grants, and the account's traffic on it. */
-export interface DenialAsker {
+export interface RequestingRouter {
     /** Fraction of time in which the router's event loop is busy, 0 to 1. */
     readonly utilization: number;
     /** Fraction of the account's requested tokens in the fleet that were requested from this router, 0 to 1. */
-    readonly accountPart: number;
+    readonly accountFraction: number;
     /** Number of routers in the fleet. */
     readonly routerCount: number;
 }
@@ -41,14 +41,20 @@
 }
 
 /** Caches denials, within one service, of accounts beyond their share. */
-export class DenialMemory {
+export class DenialCache {
     private readonly denials = new LRUCache<string, Denial>({ max: maxAccounts });
 
     /**
      * Records that all owners asked for a request have denied it. `maxUsage`: fraction of an engine's limit that the request may use;
      * `capacityMs`: time until the first of the engines has capacity.
      */
-    public record(account: string, maxUsage: number, capacityMs: number, router: DenialAsker, nowMs: number): void {
+    public record(
+        account: string,
+        maxUsage: number,
+        capacityMs: number,
+        router: RequestingRouter,
+        nowMs: number,
+    ): void {
         const cacheMs = Math.min(capacityMs, computeCacheMs(router));
         this.denials.set(account, { maxUsage, untilMs: nowMs + cacheMs });
     }
@@ -60,7 +66,7 @@
     }
 }
 
-function computeCacheMs({ utilization, accountPart, routerCount }: DenialAsker): number {
+function computeCacheMs({ utilization, accountFraction: accountPart, routerCount }: RequestingRouter): number {
     const loadFraction = Math.min(
         1,
         Math.max(0, (utilization - extendedCacheThreshold) / (maxCacheThreshold - extendedCacheThreshold)),
--- a/src/decisions/admission/engineBudget.ts
+++ b/src/decisions/admission/engineBudget.ts
@@ -12,17 +12,17 @@
  */
 
 /** A router's request for a grant, sent to the owner of an engine. */
-export interface ReadingRequest {
+export interface PrefillRequest {
     /** Unique over all routers. */
     readonly id: string;
     /** Prompt tokens of the request that the engine has to prefill. */
     readonly tokens: number;
     /** Maximum number of prompt tokens queued at the engine before the request. */
-    readonly mostAheadTokens: number;
+    readonly maxQueuedTokens: number;
     /** Maximum fraction of the engine's limit that may be in use including this request; above 1 if it may exceed the limit. */
-    readonly mostUse: number;
+    readonly maxUsage: number;
     /** Window of the limit: the longest pause that the engine's streams tolerate; milliseconds. */
-    readonly spanMs: number;
+    readonly windowMs: number;
 }
 
 /** Speed and limits of an engine. */
@@ -34,12 +34,12 @@
 }
 
 /** The owner's decision on a grant. */
-export interface ReadingDecision {
+export interface PrefillDecision {
     readonly granted: boolean;
     /** Prompt tokens queued at the engine before the request. */
-    readonly aheadTokens: number;
+    readonly queuedTokens: number;
     /** Fraction of the window's prefill capacity that is granted, including this request if it is granted. */
-    readonly use: number;
+    readonly usage: number;
     /** Time after which an equal request could be granted; milliseconds, 0 if this one is granted. */
     readonly retryAfterMs: number;
 }
@@ -80,23 +80,23 @@
     }
 
     /** Prompt tokens queued for prefill. */
-    public countWaiting(rate: EngineRate, nowMs: number): number {
+    public countQueuedTokens(rate: EngineRate, nowMs: number): number {
         this.removeOld(nowMs);
         return this.entries.reduce((sum, grant) => sum + countQueued(grant, rate, nowMs), 0);
     }
 
     /** Decides on a request and records the grant. A request that is received twice is recorded once. */
-    public check(request: ReadingRequest, rate: EngineRate, nowMs: number): ReadingDecision {
-        const aheadTokens = this.countWaiting(rate, nowMs);
-        const windowTokens = rate.tokensPerMs * request.spanMs;
-        const usedTokens = this.countUsed(request.spanMs, nowMs);
+    public check(request: PrefillRequest, rate: EngineRate, nowMs: number): PrefillDecision {
+        const aheadTokens = this.countQueuedTokens(rate, nowMs);
+        const windowTokens = rate.tokensPerMs * request.windowMs;
+        const usedTokens = this.countUsed(request.windowMs, nowMs);
         if (this.running.has(request.id)) {
-            return { granted: true, aheadTokens, use: usedTokens / windowTokens, retryAfterMs: 0 };
+            return { granted: true, queuedTokens: aheadTokens, usage: usedTokens / windowTokens, retryAfterMs: 0 };
         }
-        const limit = windowTokens * rate.readingShare * request.mostUse;
+        const limit = windowTokens * rate.readingShare * request.maxUsage;
         const waits = [
             this.running.size >= rate.slots ? noSlotRetryMs : 0,
-            Math.max(0, aheadTokens - request.mostAheadTokens) / rate.tokensPerMs,
+            Math.max(0, aheadTokens - request.maxQueuedTokens) / rate.tokensPerMs,
             this.computeCapacityMs(request, limit, nowMs),
         ];
         const retryAfterMs = Math.max(...waits);
@@ -105,11 +105,11 @@
             this.record(request, rate, nowMs);
         }
         const use = (usedTokens + (granted ? request.tokens : 0)) / windowTokens;
-        return { granted, aheadTokens, use, retryAfterMs };
+        return { granted, queuedTokens: aheadTokens, usage: use, retryAfterMs };
     }
 
     /** Records a request that is sent regardless of the limit. */
-    public record({ id, tokens }: Pick<ReadingRequest, "id" | "tokens">, rate: EngineRate, nowMs: number): void {
+    public record({ id, tokens }: Pick<PrefillRequest, "id" | "tokens">, rate: EngineRate, nowMs: number): void {
         if (!this.running.has(id)) {
             const freeAtMs = this.entries[this.entries.length - 1]?.prefilledAtMs ?? nowMs;
             const prefilledAtMs = Math.max(nowMs, freeAtMs) + tokens / rate.tokensPerMs;
@@ -141,7 +141,11 @@
     }
 
     /** Time until the limit has capacity for the request; a prompt larger than the limit waits until no grant is in the window. */
-    private computeCapacityMs({ spanMs, tokens, mostUse }: ReadingRequest, limit: number, nowMs: number): number {
+    private computeCapacityMs(
+        { windowMs: spanMs, tokens, maxUsage: mostUse }: PrefillRequest,
+        limit: number,
+        nowMs: number,
+    ): number {
         const used = this.entries.filter(grant => nowMs - grant.grantedAtMs < spanMs);
         let activeTokens = used.reduce((sum, grant) => sum + grant.tokens, 0);
         let capacityMs = 0;
--- a/src/decisions/admission/expectedWait.ts
+++ b/src/decisions/admission/expectedWait.ts
@@ -1,8 +1,8 @@
 /** Minimum and maximum retry delay sent to a refused caller; milliseconds. */
-export const retryAfterBoundsMs = { least: 200, most: 60_000 } as const;
+export const retryAfterBoundsMs = { min: 200, max: 60_000 } as const;
 
 /** State of the agent's queues when a request arrives. Costs are in the service's unit, not divided by weight. */
-export interface WaitSituation {
+export interface QueueState {
     readonly freeSlots: number;
     readonly window: number;
     /** Time that the target takes per unit of cost in one slot; undefined before the first request has ended. */
@@ -37,7 +37,7 @@
  * Expected wait of a new request; milliseconds. Under fair queueing an account's queue drains at the account's share of
  * the target, whatever other accounts have queued, and at the latest when the whole queue has drained.
  */
-export function estimateWaitMs(state: WaitSituation): number {
+export function estimateWaitMs(state: QueueState): number {
     const { msPerCost, window } = state;
     if (msPerCost === undefined || window <= 0 || (state.freeSlots > 0 && state.waitingCost === 0)) {
         return state.pausedForMs;
@@ -48,7 +48,7 @@
 }
 
 /** Expected run time of the request itself; milliseconds; 0 before the first request has ended. */
-export function estimateServiceMs(state: Pick<WaitSituation, "msPerCost" | "cost">): number {
+export function estimateServiceMs(state: Pick<QueueState, "msPerCost" | "cost">): number {
     return (state.msPerCost ?? 0) * state.cost;
 }
 
@@ -56,7 +56,7 @@
  * Latest time at which a waiting request can start and still complete before its deadline. At most half of the remaining time is
  * reserved for the run: the estimate may be far too high, and the request must then still get a chance to start.
  */
-export function computeLatestStartMs(state: WaitSituation, nowMs: number, deadlineAtMs: number): number {
+export function computeLatestStartMs(state: QueueState, nowMs: number, deadlineAtMs: number): number {
     return deadlineAtMs - Math.min(estimateServiceMs(state), (deadlineAtMs - nowMs) / 2);
 }
 
@@ -70,7 +70,7 @@
  * The limit per account keeps one account from using up the total limit, which protects the process's memory.
  */
 export function checkAdmission(
-    state: WaitSituation,
+    state: QueueState,
     counts: { readonly queuedTotal: number; readonly queuedOfAccount: number },
     bounds: QueueBounds,
     remainingMs: number,
@@ -92,5 +92,5 @@
 
 /** Rounds a retry delay and limits it to {@link retryAfterBoundsMs}; milliseconds. */
 export function toRetryAfterMs(ms: number): number {
-    return Math.round(Math.min(retryAfterBoundsMs.most, Math.max(retryAfterBoundsMs.least, ms)));
+    return Math.round(Math.min(retryAfterBoundsMs.max, Math.max(retryAfterBoundsMs.min, ms)));
 }
--- a/src/decisions/admission/workList.ts
+++ b/src/decisions/admission/linkedList.ts
@@ -1,25 +1,25 @@
-/** A node of a {@link WorkList}; with it the value can be removed in constant time. */
-export interface WorkNode<T> {
+/** A node of a {@link LinkedList}; with it the value can be removed in constant time. */
+export interface LinkedListNode<T> {
     readonly value: T;
-    previous: WorkNode<T> | undefined;
-    next: WorkNode<T> | undefined;
+    previous: LinkedListNode<T> | undefined;
+    next: LinkedListNode<T> | undefined;
 }
 
 /**
  * A doubly linked first-in-first-out list with removal from any position in constant time. A `Map` in insertion order is not used, as
  * finding its first key iterates over all removed keys, which makes each selection linear in the number of removed values.
  */
-export class WorkList<T> {
-    private first: WorkNode<T> | undefined;
-    private last: WorkNode<T> | undefined;
+export class LinkedList<T> {
+    private first: LinkedListNode<T> | undefined;
+    private last: LinkedListNode<T> | undefined;
     private count = 0;
 
     public get size(): number {
         return this.count;
     }
 
-    public add(value: T): WorkNode<T> {
-        const node: WorkNode<T> = { value, previous: this.last, next: undefined };
+    public add(value: T): LinkedListNode<T> {
+        const node: LinkedListNode<T> = { value, previous: this.last, next: undefined };
         if (this.last === undefined) {
             this.first = node;
         } else {
@@ -35,7 +35,7 @@
     }
 
     /** Removes a node of this list; each node must be removed only once. */
-    public remove(node: WorkNode<T>): void {
+    public remove(node: LinkedListNode<T>): void {
         if (node.previous === undefined) {
             this.first = node.next;
         } else {
--- a/src/decisions/admission/readingShare.ts
+++ b/src/decisions/admission/prefillShare.ts
@@ -29,7 +29,7 @@
 const minUsageFraction = 0.5;
 
 /** Estimates the prefill share of one service's engines. */
-export class ReadingShare {
+export class PrefillShare {
     private share = initialShare;
     private streams = 0;
 
--- a/src/decisions/admission/promptAdmission.ts
+++ b/src/decisions/admission/promptAdmission.ts
@@ -12,22 +12,22 @@
  * with one bound for all accounts, the surplus would go to the accounts with the highest request rate. If no owner replies, the
  * router decides by its own estimates ({@link checkPromptAdmission}).
  */
-import type { ShareUse } from "../shares/accountShares.js";
+import type { ShareUsage } from "../shares/accountShares.js";
 
 /** State on which the admission of a prompt is decided. */
 export interface PromptAdmissionView {
     /** Expected time to the first event at the best engine; milliseconds. */
     readonly expectedMs: number;
     /** The same at an idle engine: only the prefill of the request's own prompt. */
-    readonly aloneMs: number;
+    readonly unloadedMs: number;
     /** Objective for the time to the first event; milliseconds. */
     readonly objectiveMs: number;
     /** Objective for the longest pause between two events of a stream; milliseconds. */
     readonly pauseObjectiveMs: number;
     /** Time remaining until the request's deadline; milliseconds. */
-    readonly timeLeftMs: number;
+    readonly remainingMs: number;
     /** Tokens served to the request's account, relative to its entitlement. */
-    readonly shareUse: ShareUse;
+    readonly shareUse: ShareUsage;
     /** Smoothed fraction of engines whose prefill queue is empty, 0 to 1. */
     readonly idleShare: number;
 }
@@ -105,9 +105,9 @@
 /** Upper bounds on an engine's load for a request to be sent to the engine. */
 export interface PromptBounds {
     /** Maximum wait in the engine's queue; milliseconds. */
-    readonly mostWaitMs: number;
+    readonly maxWaitMs: number;
     /** Maximum fraction of the engine's limit that may be in use, 0 to 1, or above 1 for accounts within their share. */
-    readonly mostUse: number;
+    readonly maxUsage: number;
     /** Reason of the refusal if an engine exceeds the bounds. */
     readonly reason: "late" | "over-share";
 }
@@ -115,19 +115,19 @@
 /** Computes the bounds that the owner of an engine applies to a request. */
 export function computePromptBounds(view: Omit<PromptAdmissionView, "expectedMs" | "idleShare">): PromptBounds {
     const usableMs = computeUsableMs(view);
-    const mostWaitMs = Math.max(usableMs - view.aloneMs, usableMs / 2);
-    const mostUse = computeMostUse(view.shareUse);
+    const mostWaitMs = Math.max(usableMs - view.unloadedMs, usableMs / 2);
+    const mostUse = computeMaxUsage(view.shareUse);
     return isBeyondShare(view.shareUse)
         ? {
-              mostWaitMs: Math.min(mostWaitMs, view.pauseObjectiveMs * overSharePauseFraction),
-              mostUse,
+              maxWaitMs: Math.min(mostWaitMs, view.pauseObjectiveMs * overSharePauseFraction),
+              maxUsage: mostUse,
               reason: "over-share",
           }
-        : { mostWaitMs, mostUse, reason: "late" };
+        : { maxWaitMs: mostWaitMs, maxUsage: mostUse, reason: "late" };
 }
 
 /** Maximum fraction of an engine's limit that a request of the account may use. */
-export function computeMostUse(shareUse: ShareUse): number {
+export function computeMaxUsage(shareUse: ShareUsage): number {
     return isBeyondShare(shareUse) ? computeOverShareUsage(shareUse.surplus) : maxWithinShareUsage;
 }
 
@@ -135,7 +135,7 @@
  * Whether an account yields to others. Before its whole share is used it yields only if it has been served much of the surplus, or if
  * the totals are too old to be reliable.
  */
-function isBeyondShare({ share, surplus, sumsAgeMs }: ShareUse): boolean {
+function isBeyondShare({ share, surplus, sumsAgeMs }: ShareUsage): boolean {
     const mayExceedShare = surplus >= yieldingSurplusThreshold || sumsAgeMs > maxTrustedAgeMs;
     return share >= 1 || (share >= overShareThreshold && mayExceedShare);
 }
@@ -150,7 +150,7 @@
  * level, regardless of the fleet's totals: above 1 only for small accounts, and small for an account that was served
  * much more than the others.
  */
-export function computeEngineUse(surplus: number): number {
+export function computeMaxEngineUsage(surplus: number): number {
     if (surplus > excessSurplusThreshold) {
         return computeOverShareUsage(surplus);
     }
@@ -162,18 +162,22 @@
 }
 
 /** Retry delay for a refused caller; `capacityMs`: time until the engine has capacity for the request; milliseconds. */
-export function computePromptRetry(reason: PromptBounds["reason"], objectiveMs: number, capacityMs: number): number {
+export function computePromptRetryAfterMs(
+    reason: PromptBounds["reason"],
+    objectiveMs: number,
+    capacityMs: number,
+): number {
     const minMs = reason === "over-share" ? objectiveMs * overShareRetryFraction : minRetryAfterMs;
     return Math.max(minMs, capacityMs);
 }
 
 /** Decides on a request by this router's own estimates, for an engine whose owner does not reply. */
 export function checkPromptAdmission(view: PromptAdmissionView): PromptAdmission {
-    const waitMs = view.expectedMs - view.aloneMs;
+    const waitMs = view.expectedMs - view.unloadedMs;
     if (view.shareUse.share >= overShareThreshold) {
         const allowedWaitMs = view.objectiveMs * computeOverShareWaitFraction(view);
         if (waitMs > allowedWaitMs) {
-            const retryAfterMs = computePromptRetry("over-share", view.objectiveMs, waitMs - allowedWaitMs);
+            const retryAfterMs = computePromptRetryAfterMs("over-share", view.objectiveMs, waitMs - allowedWaitMs);
             return { admitted: false, reason: "over-share", retryAfterMs };
         }
     }
@@ -183,7 +187,10 @@
         : { admitted: false, reason: "late", retryAfterMs };
 }
 
-function computeUsableMs({ objectiveMs, timeLeftMs }: Pick<PromptAdmissionView, "objectiveMs" | "timeLeftMs">): number {
+function computeUsableMs({
+    objectiveMs,
+    remainingMs: timeLeftMs,
+}: Pick<PromptAdmissionView, "objectiveMs" | "remainingMs">): number {
     return Math.min(objectiveMs, timeLeftMs) * usableFraction;
 }
 
@@ -194,8 +201,8 @@
 function computeAllowedMs(view: Omit<PromptAdmissionView, "expectedMs" | "idleShare">): number {
     const usableMs = computeUsableMs(view);
     return Math.min(
-        Math.max(usableMs, view.aloneMs + usableMs / 2),
-        view.aloneMs + view.pauseObjectiveMs * pauseWaitFraction,
+        Math.max(usableMs, view.unloadedMs + usableMs / 2),
+        view.unloadedMs + view.pauseObjectiveMs * pauseWaitFraction,
     );
 }
 
--- a/src/decisions/admission/shortReserve.ts
+++ b/src/decisions/admission/shortReserve.ts
@@ -1,7 +1,7 @@
 /** Time after the last short request at which the reserve expires; milliseconds. */
-export const shortSeenWithinMs = 5_000;
+export const shortReserveExpiryMs = 5_000;
 /** Maximum fraction of the window that is reserved for short requests. */
-export const largestReserveShare = 0.25;
+export const maxReserveShare = 0.25;
 
 const smoothing = 0.1;
 
@@ -24,7 +24,7 @@
     /** Records the arrival of a short request. */
     public observeArrival(nowMs: number): void {
         if (this.lastSeenAtMs !== undefined) {
-            const intervalMs = Math.min(shortSeenWithinMs, nowMs - this.lastSeenAtMs);
+            const intervalMs = Math.min(shortReserveExpiryMs, nowMs - this.lastSeenAtMs);
             this.intervalMs =
                 this.intervalMs === undefined
                     ? intervalMs
@@ -40,22 +40,22 @@
     }
 
     /** Time at which the reserve expires if no short request arrives; undefined if it has expired already. */
-    public getLapseAtMs(nowMs: number): number | undefined {
+    public getExpiryAtMs(nowMs: number): number | undefined {
         return this.isActive(nowMs) && this.lastSeenAtMs !== undefined
-            ? this.lastSeenAtMs + shortSeenWithinMs
+            ? this.lastSeenAtMs + shortReserveExpiryMs
             : undefined;
     }
 
     /** Number of slots of the window that long requests may not take. */
-    public getReserved(window: number, nowMs: number): number {
+    public getReservedSlots(window: number, nowMs: number): number {
         if (!this.isActive(nowMs)) {
             return 0;
         }
-        const busySlots = Math.ceil((this.durationMs ?? 0) / Math.max(1, this.intervalMs ?? shortSeenWithinMs));
-        return Math.min(Math.floor(window * largestReserveShare), Math.max(1, busySlots));
+        const busySlots = Math.ceil((this.durationMs ?? 0) / Math.max(1, this.intervalMs ?? shortReserveExpiryMs));
+        return Math.min(Math.floor(window * maxReserveShare), Math.max(1, busySlots));
     }
 
     private isActive(nowMs: number): boolean {
-        return this.lastSeenAtMs !== undefined && nowMs - this.lastSeenAtMs < shortSeenWithinMs;
+        return this.lastSeenAtMs !== undefined && nowMs - this.lastSeenAtMs < shortReserveExpiryMs;
     }
 }
--- a/src/decisions/placement/heldParts.ts
+++ b/src/decisions/placement/cachedParts.ts
@@ -25,7 +25,7 @@
 const minCacheTokens = 1;
 
 /** Estimated cache content of one engine. */
-export class HeldParts {
+export class CachedParts {
     private readonly parts: LRUCache<string, CachedPart>;
     private readonly lifetimeTokens: number;
     private written = 0;
--- a/src/decisions/placement/firstTokenModel.ts
+++ b/src/decisions/placement/firstTokenModel.ts
@@ -51,7 +51,7 @@
      * Prefill speed of an engine without other work. Under load a first event is also delayed by prefill between its tokens,
      * so the mean rate underestimates the speed; prompts that were not delayed show the actual speed.
      */
-    public get readingTokensPerMs(): number {
+    public get prefillTokensPerMs(): number {
         const rate = this.prefillRate.value ?? priorTokensPerMs;
         return Math.min(tokensPerMsBounds.max, Math.max(tokensPerMsBounds.min, rate));
     }
--- a/src/decisions/placement/placement.ts
+++ b/src/decisions/placement/placement.ts
@@ -8,7 +8,7 @@
  *
  * Every candidate has a score in milliseconds: expected wait, slowdown by a fuller batch, and distance. Two candidates
  * per (account, prefix), selected by rendezvous hashing, have an advantage, as do targets that are reported to have cached the prefix.
- * The advantage is the computing time that the cached prefix saves, limited to {@link maxAffinityMs}. A target without capacity is
+ * The advantage is the computing time that the cached prefix saves, limited to {@link maxAffinityAdvantageMs}. A target without capacity is
  * excluded while another one has capacity, so affinity outweighs an idle target only if reports are stale. There are two rendezvous
  * candidates instead of one, so that a hot prefix has an alternative target when the first one is full. Near-equal scores are
  * decided at random, so that routers with the same stale view don't all choose the same target.
@@ -31,7 +31,7 @@
     /** Smoothed run time of one request; milliseconds; 0 if it has not been measured. */
     readonly serviceTimeMs: number;
     /** Whether the target is reported to have cached the request's prefix; false also if there is no report. */
-    readonly holdsPrefix: boolean;
+    readonly hasCachedPrefix: boolean;
 }
 
 /** Attributes of a request that placement depends on. */
@@ -43,7 +43,7 @@
 }
 
 /** Maximum additional wait for affinity compared with an idle target; callers hardly notice a quarter of a second. */
-export const maxAffinityMs = 250;
+export const maxAffinityAdvantageMs = 250;
 /** Prefill time per token of current engines (a few thousand tokens per second); approximate, as it only scales a capped advantage. */
 const prefillMsPerToken = 0.2;
 /**
@@ -81,9 +81,9 @@
 ): T | undefined {
     const eligible = listEligible(candidates);
     const preferred = listRendezvous(candidates, request.affinityHash);
-    const advantageMs = Math.min(maxAffinityMs, request.promptTokens * prefillMsPerToken);
+    const advantageMs = Math.min(maxAffinityAdvantageMs, request.promptTokens * prefillMsPerToken);
     const scored = eligible.map(candidate => {
-        const fraction = candidate.holdsPrefix ? 1 : preferred.includes(candidate) ? rendezvousFraction : 0;
+        const fraction = candidate.hasCachedPrefix ? 1 : preferred.includes(candidate) ? rendezvousFraction : 0;
         return { candidate, score: computeBaseScore(candidate, request.dataCentre) - fraction * advantageMs };
     });
     const maxScore = Math.min(...scored.map(entry => entry.score)) + tieBandMs;
--- a/src/decisions/placement/promptPlacement.ts
+++ b/src/decisions/placement/promptPlacement.ts
@@ -96,7 +96,7 @@
     candidates: readonly T[],
     request: PromptRequest,
     sources: readonly T[] = candidates,
-    preferred: T | undefined = findHome(candidates, request.parts[request.parts.length - 2]?.id),
+    preferred: T | undefined = findPreferredTarget(candidates, request.parts[request.parts.length - 2]?.id),
 ): PromptPlacement<T> | undefined {
     const shared = request.parts.slice(0, -1);
     const sharedTokens = shared.reduce((sum, part) => sum + part.tokens, 0);
@@ -177,7 +177,7 @@
 }
 
 /** Finds the preferred target of a shared part that no engine has cached; the same at all routers with the same list of engines. */
-export function findHome<T extends PromptCandidate>(
+export function findPreferredTarget<T extends PromptCandidate>(
     candidates: readonly T[],
     partId: string | undefined,
 ): T | undefined {
--- a/src/decisions/placement/targetOwners.ts
+++ b/src/decisions/placement/targetOwners.ts
@@ -41,7 +41,7 @@
     }
 
     /** Records that the router did not reply in time. */
-    public recordSilence(routerId: string, nowMs: number): void {
+    public recordTimeout(routerId: string, nowMs: number): void {
         const previous = this.suspicions.get(routerId);
         if (previous !== undefined && previous.untilMs > nowMs) {
             return;
@@ -51,7 +51,7 @@
     }
 
     /** Records a reply of the router, which ends its suspicion. */
-    public recordAnswer(routerId: string): void {
+    public recordReply(routerId: string): void {
         this.suspicions.delete(routerId);
     }
 
--- a/src/decisions/structures/indexedHeap.ts
+++ b/src/decisions/structures/indexedHeap.ts
@@ -4,7 +4,7 @@
     order: number;
 }
 
-/** A key with its priority, as returned by {@link IndexedHeap.getLeast}. */
+/** A key with its priority, as returned by {@link IndexedHeap.getMin}. */
 export interface HeapEntry<K> {
     readonly key: K;
     readonly priority: number;
@@ -64,7 +64,7 @@
     }
 
     /** The entry with the lowest priority value, without removing it. */
-    public getLeast(): HeapEntry<K> | undefined {
+    public getMin(): HeapEntry<K> | undefined {
         return this.nodes[0];
     }
 
--- a/src/gateway/attempt.ts
+++ b/src/gateway/attempt.ts
@@ -2,11 +2,11 @@
 import type { Clock } from "../base/clock.js";
 import { GrowingBuffer } from "../base/growingBuffer.js";
 import type { CancelSend, SendFailure, TargetConnection, TargetRequest } from "./targetConnection.js";
-import type { AnswerRelay, StoredAnswer, TargetAnswerHead } from "./relay.js";
-import type { AnswerHead, HeaderCodec } from "./wire.js";
+import type { ResponseRelay, StoredResponse, TargetResponseHead } from "./responseRelay.js";
+import type { ResponseHead, HeaderCodec } from "./wire.js";
 
 /** Why a send surely did not run. */
-export type UnrunReason =
+export type NotExecutedReason =
     /** The target could not be reached. */
     | "not-sent"
     /** The target wants no requests any more; nothing was sent. */
@@ -21,9 +21,9 @@
     /** The whole answer has gone to the caller. */
     | { readonly kind: "answered" }
     /** Surely not run. */
-    | { readonly kind: "not-run"; readonly reason: UnrunReason; readonly detail: string }
+    | { readonly kind: "not-run"; readonly reason: NotExecutedReason; readonly detail: string }
     /** The target ran it and answered with a failure of its own, which has not been passed on. */
-    | { readonly kind: "failed"; readonly answer: StoredAnswer }
+    | { readonly kind: "failed"; readonly answer: StoredResponse }
     /** Part of an answer, an answer to another request, or none; it may have run. */
     | { readonly kind: "broken"; readonly detail: string }
     /** Stopped by this router for the reason given. */
@@ -38,7 +38,7 @@
     canStart(): boolean;
     handleSent(): void;
     /** The head of the target's answer to this request, before any of it is passed on. */
-    handleHead(head: AnswerHead): void;
+    handleHead(head: ResponseHead): void;
     /** Output goes to the caller. */
     handleOutput(isFirst: boolean): void;
 }
@@ -53,7 +53,7 @@
     private readonly outcome: Promise<AttemptOutcome>;
     private resolveOutcome!: (outcome: AttemptOutcome) => void;
     private cancelSend: CancelSend | undefined;
-    private head: TargetAnswerHead | undefined;
+    private head: TargetResponseHead | undefined;
     private readonly failureBody = new GrowingBuffer();
     private hasEnded = false;
 
@@ -61,7 +61,7 @@
         private readonly requestId: string | undefined,
         private readonly codec: HeaderCodec,
         private readonly clock: Clock,
-        private readonly relay: AnswerRelay,
+        private readonly relay: ResponseRelay,
         private readonly observer: AttemptObserver,
     ) {
         this.outcome = new Promise(resolve => {
@@ -86,23 +86,23 @@
     public stop(reason: StopReason): void {
         if (!this.hasEnded) {
             this.cancelSend?.();
-            this.relay.handleBreak();
+            this.relay.handleDisconnect();
             this.endAttempt({ kind: "stopped", reason });
         }
     }
 
     private handleHead(status: number, headers: IncomingHttpHeaders): void {
-        const decoded = this.codec.decodeAnswer(status, headers, this.clock.nowDate());
+        const decoded = this.codec.decodeResponse(status, headers, this.clock.nowDate());
         const head = { status, headers, decoded };
         // An answer that a target sends late or twice comes where the next one is expected. Its id identifies it; taken for
         // this request's answer, one caller would get what belongs to another.
-        const isAnonymousRefusal = decoded.requestId === undefined && (decoded.isNotRun || decoded.isOtherTarget);
+        const isAnonymousRefusal = decoded.requestId === undefined && (decoded.isNotExecuted || decoded.isOtherTarget);
         if (decoded.requestId !== this.requestId && !isAnonymousRefusal) {
             this.fail("an answer to another request");
             return;
         }
         this.head = head;
-        const isRefusal = decoded.isNotRun || decoded.isOtherTarget;
+        const isRefusal = decoded.isNotExecuted || decoded.isOtherTarget;
         if (!isRefusal && (!decoded.isSigned || decoded.hasEncodedBody)) {
             this.fail("an answer without the engine's signature or with an encoding");
             return;
@@ -137,7 +137,7 @@
             return;
         }
         const { decoded, status } = this.head;
-        if (decoded.isOtherTarget || decoded.isNotRun) {
+        if (decoded.isOtherTarget || decoded.isNotExecuted) {
             const reason = decoded.isOtherTarget ? "other-target" : "refused";
             this.endAttempt({ kind: "not-run", reason, detail: `status ${status}` });
         } else if (!isSuccess(status)) {
@@ -153,10 +153,10 @@
         if (this.hasEnded) {
             return;
         }
-        this.relay.handleBreak();
+        this.relay.handleDisconnect();
         // Once the head says that the request was not run, a break behind it changes nothing.
         const { decoded } = this.head ?? {};
-        if (decoded?.isNotRun === true || decoded?.isOtherTarget === true) {
+        if (decoded?.isNotExecuted === true || decoded?.isOtherTarget === true) {
             const reason = decoded.isOtherTarget ? "other-target" : "refused";
             this.endAttempt({ kind: "not-run", reason, detail });
         } else if (failure === "not-sent" || failure === "withheld") {
@@ -168,7 +168,7 @@
 
     private fail(detail: string): void {
         this.cancelSend?.();
-        this.relay.handleBreak();
+        this.relay.handleDisconnect();
         this.endAttempt({ kind: "broken", detail });
     }
 
--- a/src/gateway/callerExchange.ts
+++ b/src/gateway/callerExchange.ts
@@ -4,13 +4,13 @@
 import type { Disposable } from "../base/lifecycle.js";
 
 /** Why a request's body could not be taken. */
-export type BodyFault = "too-large" | "no-room" | "left";
+export type BodyReadError = "too-large" | "no-room" | "left";
 
 /** What a body may take. */
-export interface BodyBounds {
+export interface BodyLimits {
     readonly maxBytes: number;
     /** Whether so many bytes more find room in the process; asked for each piece as it comes. */
-    hasRoom(bytes: number): boolean;
+    hasCapacity(bytes: number): boolean;
 }
 
 /** A caller that reads so slowly that this much waits for it is cut off, or a few such callers fill the memory. */
@@ -54,16 +54,16 @@
         return this.cancellation.token;
     }
 
-    public get hasLeft(): boolean {
+    public get isDisconnected(): boolean {
         return this.left;
     }
 
-    public get hasBegun(): boolean {
+    public get hasSentHead(): boolean {
         return this.response.headersSent;
     }
 
     /** Reads the whole body. Errors: larger than allowed, no room, or the caller left. */
-    public readBody(bounds: BodyBounds): Promise<Result<Buffer | undefined, BodyFault>> {
+    public readBody(bounds: BodyLimits): Promise<Result<Buffer | undefined, BodyReadError>> {
         const { request } = this;
         return new Promise(resolve => {
             const chunks: Buffer[] = [];
@@ -71,7 +71,7 @@
             request.on("data", (chunk: Buffer) => {
                 size += chunk.length;
                 const fault =
-                    size > bounds.maxBytes ? "too-large" : bounds.hasRoom(chunk.length) ? undefined : "no-room";
+                    size > bounds.maxBytes ? "too-large" : bounds.hasCapacity(chunk.length) ? undefined : "no-room";
                 if (fault !== undefined) {
                     request.pause();
                     request.removeAllListeners("data");
@@ -90,7 +90,7 @@
      * its bytes and the connection's end arrive together, but Node reads the end some turns of the event loop later; without
      * the wait each such request is sent to a target, for nobody. A turn takes microseconds in a router that keeps up.
      */
-    public async waitForClose(): Promise<void> {
+    public async waitForPendingClose(): Promise<void> {
         for (let turn = 0; turn < turnsUntilClose && !this.left; turn++) {
             await new Promise(resolve => setImmediate(resolve));
         }
--- a/src/gateway/callerServer.ts
+++ b/src/gateway/callerServer.ts
@@ -91,7 +91,7 @@
     }
 
     /** Tells callers with each answer that their connection ends with it, so that they go elsewhere in time. */
-    public closeWithAnswers(): void {
+    public closeWithResponses(): void {
         this.closesConnections = true;
     }
 
--- a/src/gateway/answerLearning.ts
+++ b/src/gateway/completeResponse.ts
@@ -1,31 +1,31 @@
-import type { ReadingShare } from "../decisions/admission/readingShare.js";
+import type { PrefillShare } from "../decisions/admission/prefillShare.js";
 import type { AccountCharge } from "./accountCharge.js";
-import type { AnswerTiming } from "./answerTiming.js";
-import type { ServedRoute } from "./configuration.js";
+import type { ResponseTiming } from "./responseTiming.js";
+import type { RouteConfiguration } from "./configuration.js";
 import type { GatewayContext } from "./gatewayContext.js";
 import type { Selection } from "./targetSelector.js";
 
 /** What is known of a request whose answer was whole. */
-export interface WholeAnswer {
+export interface CompleteResponse {
     readonly selection: Selection | undefined;
-    readonly route: ServedRoute;
+    readonly route: RouteConfiguration;
     readonly charge: AccountCharge;
-    readonly timing: AnswerTiming;
+    readonly timing: ResponseTiming;
     /** Events of the stream that went to the caller. */
-    readonly passedEvents: number;
+    readonly relayedEvents: number;
 }
 
 /** What is learnt of the engines of a request's service; undefined for plain services. */
-export function findReadingShare(context: GatewayContext, selection: Selection | undefined): ReadingShare | undefined {
-    return selection?.grant === undefined ? undefined : context.readingShares.find(selection.service.name);
+export function findPrefillShare(context: GatewayContext, selection: Selection | undefined): PrefillShare | undefined {
+    return selection?.grant === undefined ? undefined : context.prefillShares.getOrCreate(selection.service.name);
 }
 
 /** Learns from a whole answer how long outputs are, and whether engines were given too much. */
-export function observeWholeAnswer(context: GatewayContext, answer: WholeAnswer): void {
-    const { selection, route, charge, timing, passedEvents } = answer;
+export function observeCompleteResponse(context: GatewayContext, answer: CompleteResponse): void {
+    const { selection, route, charge, timing, relayedEvents: passedEvents } = answer;
     charge.observeOutput(passedEvents, selection?.service.engine?.tokensPerEvent);
     if (selection?.grant !== undefined) {
         const isLate = timing.longestPauseMs > route.pauseObjectiveMs;
-        findReadingShare(context, selection)?.observe(isLate, selection.grant.use);
+        findPrefillShare(context, selection)?.observe(isLate, selection.grant.usage);
     }
 }
--- a/src/gateway/eventSplitter.ts
+++ b/src/gateway/eventSplitter.ts
@@ -32,7 +32,7 @@
     private hasLine = false;
 
     /** Whether a fragment of an event is held back. */
-    public get hasRest(): boolean {
+    public get hasFragment(): boolean {
         return this.rest.length > 0;
     }
 
--- a/src/gateway/eventStreamRelay.ts
+++ b/src/gateway/eventStreamRelay.ts
@@ -1,6 +1,6 @@
 import type { CallerExchange } from "./callerExchange.js";
 import { EventSplitter, type StreamEvent } from "./eventSplitter.js";
-import type { AnswerRelay, RelayedOutput, TargetAnswerHead } from "./relay.js";
+import type { ResponseRelay, RelayedOutput, TargetResponseHead } from "./responseRelay.js";
 import type { HeaderCodec } from "./wire.js";
 
 /** An event holds a token or more; the rest is for events without any, such as comments that keep a connection open. */
@@ -15,9 +15,9 @@
 }
 
 /** Passes a stream on event by event, and joins it with a resumed run where one breaks off. */
-export class EventStreamRelay implements AnswerRelay {
+export class EventStreamRelay implements ResponseRelay {
     private splitter = new EventSplitter();
-    private head: TargetAnswerHead | undefined;
+    private head: TargetResponseHead | undefined;
     private passedId: string | undefined;
     private passed = 0;
 
@@ -36,7 +36,7 @@
     }
 
     public get isCommitted(): boolean {
-        return this.caller.hasBegun;
+        return this.caller.hasSentHead;
     }
 
     public get canResume(): boolean {
@@ -44,7 +44,7 @@
         return this.isResumable && (!this.isCommitted || this.passedId !== undefined);
     }
 
-    public get passedEvents(): number {
+    public get relayedEvents(): number {
         return this.passed;
     }
 
@@ -52,7 +52,7 @@
         return this.passedId;
     }
 
-    public handleHead(head: TargetAnswerHead): boolean {
+    public handleHead(head: TargetResponseHead): boolean {
         // A resumed run keeps the head and signature of the first one, which the caller has already got.
         this.head ??= head;
         this.splitter = new EventSplitter();
@@ -75,7 +75,7 @@
     }
 
     public handleEnd(): boolean {
-        if (this.splitter.hasRest) {
+        if (this.splitter.hasFragment) {
             return false;
         }
         this.writeHead();
@@ -83,7 +83,7 @@
         return true;
     }
 
-    public handleBreak(): void {
+    public handleDisconnect(): void {
         this.splitter = new EventSplitter();
         if (!this.isCommitted) {
             this.head = undefined;
--- a/src/gateway/flowEndings.ts
+++ b/src/gateway/flowOutcomes.ts
@@ -1,13 +1,13 @@
 import type { CallerExchange } from "./callerExchange.js";
-import { createOwnAnswer, type OwnAnswerReason } from "./ownAnswer.js";
-import type { AdmissionFacts } from "./requestAdmission.js";
-import type { TimingFacts } from "./answerTiming.js";
-import type { AnswerRelay, StoredAnswer } from "./relay.js";
+import { createRouterResponse, type RouterResponseReason } from "./routerResponse.js";
+import type { AdmissionDetails } from "./requestAdmission.js";
+import type { TimingDetails } from "./responseTiming.js";
+import type { ResponseRelay, StoredResponse } from "./responseRelay.js";
 import type { Selection } from "./targetSelector.js";
 import type { HeaderCodec } from "./wire.js";
 
 /** Where a request was sent last; undefined: nowhere. */
-export interface SelectionFacts {
+export interface SelectionDetails {
     readonly target: string | undefined;
     /** Of the target's software. */
     readonly version: string | undefined;
@@ -25,7 +25,7 @@
 }
 
 /** What is known of a request's way when it ends. */
-export interface FlowFacts extends AdmissionFacts, SelectionFacts, TimingFacts {
+export interface FlowDetails extends AdmissionDetails, SelectionDetails, TimingDetails {
     /** Targets it was meant for. */
     readonly attempts: number;
     /** Targets in the order tried, each with how its attempt ended. */
@@ -40,7 +40,7 @@
 }
 
 /** How a request ended, for the log and the figures. */
-export interface FlowEnd extends FlowFacts {
+export interface FlowOutcome extends FlowDetails {
     readonly outcome: "answered" | "failed" | "refused" | "broken" | "left" | "timeout";
     readonly reason: string;
     /** Undefined when no whole answer was sent. */
@@ -48,7 +48,7 @@
 }
 
 /** What a selection expected. */
-export function describeSelection(selection: Selection | undefined): SelectionFacts {
+export function describeSelection(selection: Selection | undefined): SelectionDetails {
     return {
         target: selection?.target.id,
         version: selection?.target.entry.version,
@@ -57,64 +57,68 @@
         tokensAhead: selection?.tokensAhead,
         newTokens: selection?.newTokens,
         fetchedTokens: selection?.fetch?.tokens,
-        engineUse: selection?.grant?.use,
+        engineUse: selection?.grant?.usage,
     };
 }
 
 /** Gives a request its final answer when its target does not. */
-export class FlowEndings {
+export class FlowOutcomes {
     public constructor(
         private readonly caller: CallerExchange,
         private readonly codec: HeaderCodec,
         private readonly requestId: string | undefined,
-        private readonly relay: AnswerRelay,
-        private readonly getFacts: () => FlowFacts,
+        private readonly relay: ResponseRelay,
+        private readonly getFacts: () => FlowDetails,
     ) {}
 
-    public createEnd(outcome: FlowEnd["outcome"], reason: string, status: number | undefined): FlowEnd {
+    public createOutcome(outcome: FlowOutcome["outcome"], reason: string, status: number | undefined): FlowOutcome {
         return { ...this.getFacts(), outcome, reason, status };
     }
 
     /** The request did not run and will not. */
-    public refuse(reason: OwnAnswerReason, retryAfterMs: number): FlowEnd {
+    public refuse(reason: RouterResponseReason, retryAfterMs: number): FlowOutcome {
         return this.answer(reason, retryAfterMs, "refused", reason);
     }
 
     /** The target answered with a failure of its own. */
-    public sendFailure(failure: StoredAnswer): FlowEnd {
+    public sendFailure(failure: StoredResponse): FlowOutcome {
         if (this.relay.isCommitted) {
-            return this.endBroken("the stream could not go on elsewhere");
+            return this.endDisconnected("the stream could not go on elsewhere");
         }
         this.caller.answer(failure.status, this.codec.encodeForCaller(failure.headers), failure.body);
-        return this.createEnd("failed", "the target failed", failure.status);
+        return this.createOutcome("failed", "the target failed", failure.status);
     }
 
     /** The target broke off, and the request may have run. */
-    public endBroken(detail: string): FlowEnd {
+    public endDisconnected(detail: string): FlowOutcome {
         if (this.relay.isCommitted) {
             this.caller.cancel();
-            return this.createEnd("broken", detail, undefined);
+            return this.createOutcome("broken", detail, undefined);
         }
         return this.answer("target-broke", undefined, "failed", detail);
     }
 
     /** The time is up. */
-    public endLate(): FlowEnd {
+    public endTimedOut(): FlowOutcome {
         if (this.relay.isCommitted) {
             this.caller.cancel();
-            return this.createEnd("timeout", "the answer was not whole in time", undefined);
+            return this.createOutcome("timeout", "the answer was not whole in time", undefined);
         }
         return this.answer("timeout", undefined, "timeout", "no answer in time");
     }
 
     private answer(
-        reason: OwnAnswerReason,
+        reason: RouterResponseReason,
         retryAfterMs: number | undefined,
-        outcome: FlowEnd["outcome"],
+        outcome: FlowOutcome["outcome"],
         detail: string,
-    ): FlowEnd {
-        const own = createOwnAnswer(reason, retryAfterMs);
-        this.caller.answer(own.status, { ...own.headers, ...this.codec.encodeOwnAnswer(this.requestId) }, own.body);
-        return this.createEnd(outcome, detail, own.status);
+    ): FlowOutcome {
+        const own = createRouterResponse(reason, retryAfterMs);
+        this.caller.answer(
+            own.status,
+            { ...own.headers, ...this.codec.encodeRouterResponse(this.requestId) },
+            own.body,
+        );
+        return this.createOutcome(outcome, detail, own.status);
     }
 }
--- a/src/gateway/gatewayService.ts
+++ b/src/gateway/gatewayService.ts
@@ -2,13 +2,13 @@
 import type { Disposable } from "../base/lifecycle.js";
 import { Emitter } from "../base/event.js";
 import { computeChargedTokens } from "./accountCharge.js";
-import { AccountFigures } from "./accountFigures.js";
+import { AccountStatistics } from "./accountStatistics.js";
 import { CallerExchange } from "./callerExchange.js";
-import type { FlowEnd } from "./flowEndings.js";
+import type { FlowOutcome } from "./flowOutcomes.js";
 import type { GatewayContext } from "./gatewayContext.js";
-import { createOwnAnswer, type OwnAnswerReason } from "./ownAnswer.js";
+import { createRouterResponse, type RouterResponseReason } from "./routerResponse.js";
 import { RequestIdentity } from "./quarantine/requestIdentity.js";
-import { RequestWatch } from "./quarantine/requestWatch.js";
+import { RequestGuard } from "./quarantine/requestGuard.js";
 import { RequestFlow } from "./requestFlow.js";
 import { RequestShedder } from "./requestShedder.js";
 import type { RoutedRequest } from "./routedRequest.js";
@@ -23,7 +23,7 @@
     /** The router that the caller reached and that handed its connection over. */
     readonly handedOverBy?: string | undefined;
     readonly tookMs: number;
-    readonly end: Pick<FlowEnd, "outcome" | "reason" | "status"> & Partial<FlowEnd>;
+    readonly end: Pick<FlowOutcome, "outcome" | "reason" | "status"> & Partial<FlowOutcome>;
 }
 
 /** A request with its route and account, or why it has none, by the configuration in force. */
@@ -31,7 +31,7 @@
     readonly version: number | undefined;
     readonly arrivedAtMs: number;
     readonly handedOverBy: string | undefined;
-} & ({ readonly request: RoutedRequest } | { readonly request: undefined; readonly problem: OwnAnswerReason });
+} & ({ readonly request: RoutedRequest } | { readonly request: undefined; readonly problem: RouterResponseReason });
 
 /** A configuration is read within seconds of a start; callers come back then. */
 const noConfigurationRetryMs = 500;
@@ -47,7 +47,7 @@
 /** Takes callers' requests: finds route and account, and hands them on to be served. */
 export class GatewayService implements Disposable {
     /** What became of requests, by account. */
-    public readonly accounts = new AccountFigures();
+    public readonly accounts = new AccountStatistics();
 
     private readonly endEmitter = new Emitter<EndedRequest>();
     private open = 0;
@@ -67,7 +67,7 @@
     }
 
     /** From here on new requests are refused. */
-    public refuseNew(): void {
+    public refuseNewRequests(): void {
         this.refusesNew = true;
     }
 
@@ -100,9 +100,9 @@
             return this.heldBytes <= budget;
         };
         try {
-            const body = await caller.readBody({ maxBytes, hasRoom });
-            await caller.waitForClose();
-            if (caller.hasLeft) {
+            const body = await caller.readBody({ maxBytes, hasCapacity: hasRoom });
+            await caller.waitForPendingClose();
+            if (caller.isDisconnected) {
                 const end = { outcome: "left" as const, reason: "the caller left unread", status: undefined };
                 this.fireEnd(head, arrivedAtMs, end, this.findRoute(caller, head, undefined, arrivedAtMs));
             } else if (body.isOk()) {
@@ -143,7 +143,7 @@
 
     private async handleRouted(caller: CallerExchange, routed: RouteOutcome, request: RoutedRequest): Promise<void> {
         const { head, arrivedAtMs, identity } = request;
-        const watch = new RequestWatch(this.context.quarantine, identity);
+        const watch = new RequestGuard(this.context.quarantine, identity);
         const start = watch.start();
         if (start === "held") {
             this.answerOwn(caller, head, routed, "crashes-targets", undefined);
@@ -165,7 +165,7 @@
         const { request } = caller;
         const configuration = this.context.configuration.current;
         const version = configuration?.version;
-        const createProblem = (problem: OwnAnswerReason): RouteOutcome => ({
+        const createProblem = (problem: RouterResponseReason): RouteOutcome => ({
             request: undefined,
             problem,
             version,
@@ -199,11 +199,11 @@
         caller: CallerExchange,
         head: RequestHead,
         routed: RouteOutcome,
-        reason: OwnAnswerReason,
+        reason: RouterResponseReason,
         retryAfterMs: number | undefined,
     ): void {
-        const own = createOwnAnswer(reason, retryAfterMs);
-        const headers = { ...own.headers, ...this.context.codec.encodeOwnAnswer(head.requestId) };
+        const own = createRouterResponse(reason, retryAfterMs);
+        const headers = { ...own.headers, ...this.context.codec.encodeRouterResponse(head.requestId) };
         // What is left of an unread body would be taken for the next request on the connection.
         const closes = !caller.request.complete || this.refusesNew;
         caller.answer(own.status, closes ? { ...headers, connection: "close" } : headers, own.body);
--- a/src/gateway/silenceTimer.ts
+++ b/src/gateway/inactivityTimer.ts
@@ -1,5 +1,5 @@
 import type { Disposable } from "../base/lifecycle.js";
-import type { ServedRoute } from "./configuration.js";
+import type { RouteConfiguration } from "./configuration.js";
 
 /**
  * A stream without any output for this many objectives is taken for hung: callers give up after four. The silence that
@@ -10,7 +10,7 @@
 const plainObjectives = 1.5;
 
 /** How long a target may stay silent before a repeatable request goes elsewhere; milliseconds. */
-export function computeSilenceLimit(route: ServedRoute, hasBegun: boolean): number {
+export function computeInactivityLimit(route: RouteConfiguration, hasBegun: boolean): number {
     if (route.kind !== "stream") {
         return plainObjectives * route.objectiveMs;
     }
@@ -18,7 +18,7 @@
 }
 
 /** Fires when nothing was received for a time. */
-export class SilenceTimer implements Disposable {
+export class InactivityTimer implements Disposable {
     private timer: NodeJS.Timeout | undefined;
 
     public constructor(private readonly onDidExpire: () => void) {}
--- a/src/gateway/requestAdmission.ts
+++ b/src/gateway/requestAdmission.ts
@@ -1,16 +1,16 @@
 import {
     checkPromptAdmission,
-    computeMostUse,
+    computeMaxUsage,
     computePromptBounds,
-    computePromptRetry,
+    computePromptRetryAfterMs,
     type PromptBounds,
 } from "../decisions/admission/promptAdmission.js";
-import { noUse, type ShareUse } from "../decisions/shares/accountShares.js";
-import { computeShareUse } from "./computeShareUse.js";
+import { zeroUsage, type ShareUsage } from "../decisions/shares/accountShares.js";
+import { computeShareUsage } from "./computeShareUsage.js";
 import type { GatewayContext } from "./gatewayContext.js";
 import type { GrantDemand } from "./grants/grantClient.js";
 import type { GrantReply } from "./grants/grantMessage.js";
-import type { OwnAnswerReason } from "./ownAnswer.js";
+import type { RouterResponseReason } from "./routerResponse.js";
 import type { RoutedRequest } from "./routedRequest.js";
 import type { Selection, TargetFilter, TargetSelector } from "./targetSelector.js";
 
@@ -21,9 +21,9 @@
 export type DecisionSource = "owner" | "beliefs" | "memory" | "none";
 
 /** What an admission went by. */
-export interface AdmissionFacts {
+export interface AdmissionDetails {
     /** What its account had got, over what it may have. */
-    readonly shareUse: ShareUse;
+    readonly shareUse: ShareUsage;
     /** Owners of engines that were asked for a grant, and those among them that did not answer. */
     readonly ownersAsked: number;
     readonly ownersSilent: number;
@@ -33,8 +33,8 @@
 }
 
 /** Facts of a request that was not looked at. */
-export const noAdmission: AdmissionFacts = {
-    shareUse: noUse,
+export const emptyAdmission: AdmissionDetails = {
+    shareUse: zeroUsage,
     ownersAsked: 0,
     ownersSilent: 0,
     decidedBy: "none",
@@ -42,9 +42,9 @@
 };
 
 /** Where a request goes first, or why it is refused. */
-export type AdmittedSelection = { readonly facts: AdmissionFacts } & (
+export type AdmissionOutcome = { readonly details: AdmissionDetails } & (
     | { readonly selection: Selection }
-    | { readonly selection: undefined; readonly reason: OwnAnswerReason; readonly retryAfterMs: number }
+    | { readonly selection: undefined; readonly reason: RouterResponseReason; readonly retryAfterMs: number }
 );
 
 /** Part of the objective that a plain request may wait. */
@@ -62,8 +62,8 @@
     /** What it counts against its account's share. */
     readonly chargedTokens: number;
     /** Targets that it must not go to. */
-    readonly isLeftOut: TargetFilter;
-    readonly getTimeLeftMs: () => number;
+    readonly isExcluded: TargetFilter;
+    readonly getRemainingMs: () => number;
 }
 
 /** Decides whether a request is sent on and where to, before its first send; asks the owners of model engines. */
@@ -74,17 +74,17 @@
     private roomMs = Number.POSITIVE_INFINITY;
     /** Part of an engine's limit that owners let the request use at most; one account's denial is not another one's. */
     private mostUse = Number.POSITIVE_INFINITY;
-    private shareUse = noUse;
+    private shareUse = zeroUsage;
     private decidedBy: DecisionSource = "none";
 
     public constructor(private readonly options: RequestAdmissionOptions) {}
 
     /** The outcome always comes, at once or after the owners' answers. */
-    public check(services: readonly string[], handleOutcome: (outcome: AdmittedSelection) => void): void {
+    public check(services: readonly string[], handleOutcome: (outcome: AdmissionOutcome) => void): void {
         this.shareUse = this.computeUse();
-        const selection = this.select(services, computeMostUse(this.shareUse));
+        const selection = this.select(services, computeMaxUsage(this.shareUse));
         if (selection === undefined) {
-            const { reason, retryAfterMs } = this.options.selector.explainNone(services);
+            const { reason, retryAfterMs } = this.options.selector.explainNoTarget(services);
             handleOutcome(this.createRefusal(reason, retryAfterMs));
         } else if (selection.tokensAhead === 0) {
             handleOutcome(this.checkPlain(selection));
@@ -93,7 +93,7 @@
         }
     }
 
-    private checkPlain(selection: Selection): AdmittedSelection {
+    private checkPlain(selection: Selection): AdmissionOutcome {
         const isLate = selection.expectedMs > this.options.routed.route.objectiveMs * plainUsableShare;
         return isLate ? this.createRefusal("late", selection.expectedMs) : this.createSelected(selection);
     }
@@ -105,7 +105,7 @@
     private checkPrompt(
         services: readonly string[],
         selection: Selection,
-        handleOutcome: (outcome: AdmittedSelection) => void,
+        handleOutcome: (outcome: AdmissionOutcome) => void,
     ): void {
         const { context, routed } = this.options;
         const { clock, grants } = context;
@@ -129,7 +129,7 @@
                 return;
             }
             target.applyGrantReply(outcome.reply, clock.nowMs());
-            this.mostUse = Math.min(this.mostUse, outcome.reply.mostUse);
+            this.mostUse = Math.min(this.mostUse, outcome.reply.maxUsage);
             this.roomMs = Math.min(this.roomMs, outcome.reply.retryAfterMs);
             if (outcome.kind === "granted") {
                 routed.figures.record("granted");
@@ -143,24 +143,24 @@
     }
 
     /** How long the target's owner, or those of others asked just now, turn such requests away; milliseconds, 0 if they don't. */
-    private computeDeniedMs({ target, service }: Selection, { mostUse, reason }: PromptBounds): number {
+    private computeDeniedMs({ target, service }: Selection, { maxUsage: mostUse, reason }: PromptBounds): number {
         const { context, routed } = this.options;
         const nowMs = context.clock.nowMs();
         const deniedMs = target.computeDeniedMs(mostUse, nowMs);
         if (reason !== "over-share" || routed.account === undefined || this.demands > 0) {
             return deniedMs;
         }
-        const denials = context.denials.find(service.name);
+        const denials = context.denials.getOrCreate(service.name);
         return Math.max(deniedMs, denials.computeDeniedMs(routed.account, mostUse, nowMs));
     }
 
-    private recordDenial({ service }: Selection, { mostUse, reason }: PromptBounds): void {
+    private recordDenial({ service }: Selection, { maxUsage: mostUse, reason }: PromptBounds): void {
         const { context, routed } = this.options;
         if (reason === "over-share" && routed.account !== undefined && this.demands > 0) {
-            const denials = context.denials.find(service.name);
+            const denials = context.denials.getOrCreate(service.name);
             const asker = {
                 utilization: context.load.loop.utilization,
-                accountPart: context.shares.computeOwnPart(routed.account),
+                accountFraction: context.shares.computeOwnFraction(routed.account),
                 routerCount: context.peers.routers.routerIds.length,
             };
             denials.record(routed.account, mostUse, this.roomMs, asker, context.clock.nowMs());
@@ -173,37 +173,37 @@
     }
 
     private select(services: readonly string[], mostUse: number): Selection | undefined {
-        const { routed, selector, isLeftOut } = this.options;
+        const { routed, selector, isExcluded: isLeftOut } = this.options;
         return selector.select(services, routed.head, routed.route.hasPrompts, isLeftOut, mostUse);
     }
 
     /** Without an owner this router goes by what it believes of the target. */
-    private checkByBelief(selection: Selection): AdmittedSelection {
-        const { context, routed, getTimeLeftMs } = this.options;
+    private checkByBelief(selection: Selection): AdmissionOutcome {
+        const { context, routed, getRemainingMs: getTimeLeftMs } = this.options;
         const admission = checkPromptAdmission({
             expectedMs: selection.expectedMs,
-            aloneMs: selection.aloneMs,
+            unloadedMs: selection.unloadedMs,
             objectiveMs: routed.route.objectiveMs,
             pauseObjectiveMs: routed.route.pauseObjectiveMs,
-            timeLeftMs: getTimeLeftMs(),
+            remainingMs: getTimeLeftMs(),
             shareUse: this.shareUse,
-            idleShare: context.idleShares.find(selection.service.name).current,
+            idleShare: context.idleShares.getOrCreate(selection.service.name).current,
         });
         return admission.admitted
             ? this.createSelected(selection)
             : this.createRefusal(admission.reason, admission.retryAfterMs);
     }
 
-    private computeBounds({ aloneMs }: Selection): PromptBounds {
-        const { routed, getTimeLeftMs } = this.options;
+    private computeBounds({ unloadedMs: aloneMs }: Selection): PromptBounds {
+        const { routed, getRemainingMs: getTimeLeftMs } = this.options;
         const bounds = computePromptBounds({
-            aloneMs,
+            unloadedMs: aloneMs,
             objectiveMs: routed.route.objectiveMs,
             pauseObjectiveMs: routed.route.pauseObjectiveMs,
-            timeLeftMs: getTimeLeftMs(),
+            remainingMs: getTimeLeftMs(),
             shareUse: this.shareUse,
         });
-        return { ...bounds, mostUse: Math.min(bounds.mostUse, this.mostUse) };
+        return { ...bounds, maxUsage: Math.min(bounds.maxUsage, this.mostUse) };
     }
 
     private createDemand({ target, fetch }: Selection, bounds: PromptBounds): GrantDemand {
@@ -216,36 +216,39 @@
             account: routed.account,
             chargedTokens,
             bounds,
-            spanMs: routed.route.pauseObjectiveMs,
+            windowMs: routed.route.pauseObjectiveMs,
         };
     }
 
     /** The selection with the owner's figures in place of this router's beliefs. */
-    private applyReply(selection: Selection, { newTokens, aheadTokens }: GrantReply): Selection {
-        const model = this.options.context.firstTokenModels.find(selection.service.name);
+    private applyReply(selection: Selection, { newTokens, queuedTokens: aheadTokens }: GrantReply): Selection {
+        const model = this.options.context.firstTokenModels.getOrCreate(selection.service.name);
         const fetchMs = selection.fetch?.ms ?? 0;
         return {
             ...selection,
             newTokens,
             tokensAhead: aheadTokens + newTokens,
             expectedMs: fetchMs + model.estimateMs(aheadTokens + newTokens),
-            aloneMs: fetchMs + model.estimateMs(newTokens),
+            unloadedMs: fetchMs + model.estimateMs(newTokens),
         };
     }
 
-    private createDenial(reason: PromptBounds["reason"], roomMs: number): AdmittedSelection {
-        return this.createRefusal(reason, computePromptRetry(reason, this.options.routed.route.objectiveMs, roomMs));
+    private createDenial(reason: PromptBounds["reason"], roomMs: number): AdmissionOutcome {
+        return this.createRefusal(
+            reason,
+            computePromptRetryAfterMs(reason, this.options.routed.route.objectiveMs, roomMs),
+        );
     }
 
-    private createSelected(selection: Selection): AdmittedSelection {
-        return { selection, facts: this.createFacts() };
+    private createSelected(selection: Selection): AdmissionOutcome {
+        return { selection, details: this.createFacts() };
     }
 
-    private createRefusal(reason: OwnAnswerReason, retryAfterMs: number): AdmittedSelection {
-        return { selection: undefined, reason, retryAfterMs, facts: this.createFacts() };
+    private createRefusal(reason: RouterResponseReason, retryAfterMs: number): AdmissionOutcome {
+        return { selection: undefined, reason, retryAfterMs, details: this.createFacts() };
     }
 
-    private createFacts(): AdmissionFacts {
+    private createFacts(): AdmissionDetails {
         const { context, routed } = this.options;
         return {
             shareUse: this.shareUse,
@@ -256,8 +259,8 @@
         };
     }
 
-    private computeUse(): ShareUse {
+    private computeUse(): ShareUsage {
         const { context, routed } = this.options;
-        return routed.route.hasPrompts ? computeShareUse(context, routed.account) : noUse;
+        return routed.route.hasPrompts ? computeShareUsage(context, routed.account) : zeroUsage;
     }
 }
--- a/src/gateway/requestFlow.ts
+++ b/src/gateway/requestFlow.ts
@@ -1,23 +1,23 @@
 import { DisposableStore } from "../base/lifecycle.js";
 import { AccountCharge } from "./accountCharge.js";
-import { noAdmission, RequestAdmission, type AdmittedSelection } from "./requestAdmission.js";
-import { findReadingShare, observeWholeAnswer } from "./answerLearning.js";
-import { AnswerTiming } from "./answerTiming.js";
-import { Attempt, type AttemptOutcome, type StopReason, type UnrunReason } from "./attempt.js";
+import { emptyAdmission, RequestAdmission, type AdmissionOutcome } from "./requestAdmission.js";
+import { findPrefillShare, observeCompleteResponse } from "./completeResponse.js";
+import { ResponseTiming } from "./responseTiming.js";
+import { Attempt, type AttemptOutcome, type StopReason, type NotExecutedReason } from "./attempt.js";
 import type { CallerExchange } from "./callerExchange.js";
 import { EventStreamRelay } from "./eventStreamRelay.js";
-import { describeSelection, FlowEndings, type FlowEnd } from "./flowEndings.js";
+import { describeSelection, FlowOutcomes, type FlowOutcome } from "./flowOutcomes.js";
 import type { GatewayContext } from "./gatewayContext.js";
-import type { AnswerRelay, StoredAnswer } from "./relay.js";
+import type { ResponseRelay, StoredResponse } from "./responseRelay.js";
 import { RequestRetries } from "./requestRetries.js";
-import type { RequestWatch } from "./quarantine/requestWatch.js";
+import type { RequestGuard } from "./quarantine/requestGuard.js";
 import type { RequestVersions } from "./rollouts/requestVersions.js";
 import type { RoutedRequest } from "./routedRequest.js";
-import { computeSilenceLimit, SilenceTimer } from "./silenceTimer.js";
+import { computeInactivityLimit, InactivityTimer } from "./inactivityTimer.js";
 import type { Target } from "./target.js";
 import { openTargetSend, type TargetSend } from "./targetSend.js";
 import { TargetSelector, type Selection } from "./targetSelector.js";
-import { WholeAnswerRelay } from "./wholeAnswerRelay.js";
+import { BufferedResponseRelay } from "./bufferedResponseRelay.js";
 
 /**
  * A request that must not run twice goes only over a connection that was in use just now: one that the target has closed
@@ -26,69 +26,69 @@
 const freshConnectionMs = 250;
 const anyIdleMs = 60_000;
 /** A send that is not asked for is booked in any case. */
-const anyBounds = { mostWaitMs: 0, mostUse: 1 };
+const anyBounds = { maxWaitMs: 0, maxUsage: 1 };
 const mostUnrunAttempts = 4;
 
 /** One request's way to its target and back. */
 export class RequestFlow {
     private readonly store = new DisposableStore();
     private readonly selector: TargetSelector;
-    private readonly relay: AnswerRelay;
+    private readonly relay: ResponseRelay;
     private readonly tried = new Set<Target>();
     private versions: RequestVersions | undefined;
     /** Targets tried and how each attempt ended, for the log. */
     private readonly history: string[] = [];
     private readonly deadlineAtMs: number;
     private readonly isRepeatable: boolean;
-    private readonly endings: FlowEndings;
+    private readonly endings: FlowOutcomes;
     private current: Attempt | undefined;
-    private readonly silence = this.store.add(new SilenceTimer(() => this.current?.stop("silent")));
+    private readonly silence = this.store.add(new InactivityTimer(() => this.current?.stop("silent")));
     private stopReason: StopReason | undefined;
     private sent = 0;
     private unrun = 0;
     /** Whether an attempt may have run; until then "not run" is true. */
     private mayHaveRun = false;
     /** The failure that a target answered with, while a repeat is under way. */
-    private lastFailure: StoredAnswer | undefined;
+    private lastFailure: StoredResponse | undefined;
     private selection: Selection | undefined;
     private recordRemovedForMs: number | undefined;
-    private readonly timing: AnswerTiming;
+    private readonly timing: ResponseTiming;
     private readonly charge: AccountCharge;
     private readonly retries: RequestRetries;
-    private admission = noAdmission;
+    private admission = emptyAdmission;
 
     public constructor(
         private readonly context: GatewayContext,
         private readonly caller: CallerExchange,
         private readonly routed: RoutedRequest,
-        private readonly watch: RequestWatch,
+        private readonly watch: RequestGuard,
     ) {
         const { route, head, arrivedAtMs } = routed;
         this.selector = new TargetSelector(context);
-        this.timing = new AnswerTiming(route, arrivedAtMs);
+        this.timing = new ResponseTiming(route, arrivedAtMs);
         this.charge = new AccountCharge(context, routed);
         this.retries = new RequestRetries(context, routed.account);
         const isStream = route.kind === "stream";
         this.relay = isStream
             ? new EventStreamRelay(caller, context.codec, route.isResumable, head.lastEventId, head.maxOutputTokens)
-            : new WholeAnswerRelay(caller, context.codec, head.lastEventId);
-        this.endings = new FlowEndings(caller, context.codec, head.requestId, this.relay, () => ({
+            : new BufferedResponseRelay(caller, context.codec, head.lastEventId);
+        this.endings = new FlowOutcomes(caller, context.codec, head.requestId, this.relay, () => ({
             attempts: this.tried.size,
             tried: this.history,
             ...describeSelection(this.selection),
-            readingShare: findReadingShare(context, this.selection)?.current,
+            readingShare: findPrefillShare(context, this.selection)?.current,
             recordRemovedForMs: this.recordRemovedForMs,
-            ...this.timing.facts,
+            ...this.timing.details,
             ...this.admission,
             askedTokens: this.charge.askedTokens,
             servedTokens: this.charge.servedTokens,
         }));
         this.isRepeatable = route.kind === "idempotent" || (isStream && route.isResumable);
-        this.deadlineAtMs = arrivedAtMs + Math.min(route.timeoutMs, head.timeLeftMs ?? route.timeoutMs);
+        this.deadlineAtMs = arrivedAtMs + Math.min(route.timeoutMs, head.remainingMs ?? route.timeoutMs);
     }
 
     /** Serves the request; the caller has its final answer, or has left, when this resolves. */
-    public async run(): Promise<FlowEnd> {
+    public async run(): Promise<FlowOutcome> {
         const { clock } = this.context;
         const timer = setTimeout(() => this.stop("deadline"), Math.max(0, this.deadlineAtMs - clock.nowMs()));
         this.store.add({ dispose: () => clearTimeout(timer) });
@@ -105,7 +105,7 @@
         }
     }
 
-    private async runAttempts(): Promise<FlowEnd> {
+    private async runAttempts(): Promise<FlowOutcome> {
         const services = this.selector.orderServices(this.routed.route);
         this.versions = this.context.rollouts.open(services[0], this.routed.route.name);
         this.recordFirst(services[0]);
@@ -144,7 +144,7 @@
             account: this.routed.account,
             chargedTokens: 0,
             bounds: anyBounds,
-            spanMs: route.pauseObjectiveMs,
+            windowMs: route.pauseObjectiveMs,
         });
         return (this.selection = { ...selection, grant });
     }
@@ -158,11 +158,11 @@
         if (service !== undefined) {
             this.retries.recordFirst(service);
         }
-        this.charge.recordAsked();
+        this.charge.recordRequested();
     }
 
     /** The target for the first send, or the refusal. */
-    private async selectFirst(services: readonly string[]): Promise<Selection | FlowEnd> {
+    private async selectFirst(services: readonly string[]): Promise<Selection | FlowOutcome> {
         const { context, routed, selector } = this;
         const admission = new RequestAdmission({
             context,
@@ -170,15 +170,15 @@
             selector,
             outputTokens: this.charge.outputTokens,
             chargedTokens: this.charge.askedTokens,
-            isLeftOut: target => this.isLeftOut(target),
-            getTimeLeftMs: () => this.deadlineAtMs - context.clock.nowMs(),
+            isExcluded: target => this.isLeftOut(target),
+            getRemainingMs: () => this.deadlineAtMs - context.clock.nowMs(),
         });
-        const admitted = await new Promise<AdmittedSelection>(resolve => admission.check(services, resolve));
+        const admitted = await new Promise<AdmissionOutcome>(resolve => admission.check(services, resolve));
         if (admitted.selection === undefined && this.versions?.hasFallback === true) {
             this.versions.chooseBaseline();
             return this.selectFirst(services);
         }
-        this.admission = admitted.facts;
+        this.admission = admitted.details;
         if (admitted.selection === undefined) {
             return this.endings.refuse(admitted.reason, admitted.retryAfterMs);
         }
@@ -201,7 +201,7 @@
         }
         const { method, url } = this.caller.request;
         const headers = context.codec.encodeForTarget(this.caller.request.rawHeaders, {
-            timeLeftMs: this.deadlineAtMs - nowMs,
+            remainingMs: this.deadlineAtMs - nowMs,
             targetId: target.id,
             clientAccount: routed.account,
             lastEventId: this.relay.lastEventId,
@@ -222,7 +222,7 @@
         const attempt = new Attempt(routed.head.requestId, context.codec, context.clock, this.relay, {
             canStart: () => !context.directory.isClosed(target),
             handleSent: () => this.handleSent(target),
-            handleHead: head => context.directory.observeAnswer(target, availability, head),
+            handleHead: head => context.directory.observeResponse(target, availability, head),
             handleOutput: isFirst => this.handleOutput(send, isFirst),
         });
         this.current = attempt;
@@ -257,11 +257,11 @@
     }
 
     /** The request's end, or undefined to try again. */
-    private handleOutcome(outcome: AttemptOutcome): FlowEnd | undefined {
+    private handleOutcome(outcome: AttemptOutcome): FlowOutcome | undefined {
         switch (outcome.kind) {
             case "answered":
                 this.observeAnswer();
-                return this.endings.createEnd("answered", "", 200);
+                return this.endings.createOutcome("answered", "", 200);
             case "not-run":
                 this.unrun += 1;
                 this.sent += outcome.reason === "refused" ? 1 : 0;
@@ -275,7 +275,7 @@
                 this.sent += 1;
                 this.mayHaveRun = true;
                 this.lastFailure = undefined;
-                return this.canRepeat() ? undefined : this.endings.endBroken(outcome.detail);
+                return this.canRepeat() ? undefined : this.endings.endDisconnected(outcome.detail);
             case "stopped":
                 return this.handleStopped(outcome.reason);
         }
@@ -284,24 +284,24 @@
     private observeAnswer(): void {
         const { selection, charge, timing, relay } = this;
         const { route } = this.routed;
-        observeWholeAnswer(this.context, { selection, route, charge, timing, passedEvents: relay.passedEvents });
+        observeCompleteResponse(this.context, { selection, route, charge, timing, relayedEvents: relay.relayedEvents });
     }
 
-    private handleStopped(reason: StopReason): FlowEnd | undefined {
+    private handleStopped(reason: StopReason): FlowOutcome | undefined {
         if (reason === "left") {
-            return this.endings.createEnd("left", "the caller left", undefined);
+            return this.endings.createOutcome("left", "the caller left", undefined);
         }
         if (reason === "silent") {
             this.sent += 1;
             this.mayHaveRun = true;
             this.lastFailure = undefined;
-            return this.canRepeat() ? undefined : this.endings.endBroken("the target went silent");
+            return this.canRepeat() ? undefined : this.endings.endDisconnected("the target went silent");
         }
-        return this.endings.endLate();
+        return this.endings.endTimedOut();
     }
 
     /** A request that did not run may go to another target; one that a target turned away counts against the budget. */
-    private canTryUnrun(reason: UnrunReason): boolean {
+    private canTryUnrun(reason: NotExecutedReason): boolean {
         if (this.unrun >= mostUnrunAttempts || this.hasNoTime()) {
             return false;
         }
@@ -318,18 +318,18 @@
     }
 
     private takeRetry(): boolean {
-        return this.watch.mayRepeat && this.retries.take(this.selection?.service.name ?? "");
+        return this.watch.canRetry && this.retries.take(this.selection?.service.name ?? "");
     }
 
     /** Nothing can take it any more: the caller gets what is known of it. */
-    private endWithoutTarget(): FlowEnd {
+    private endWithoutTarget(): FlowOutcome {
         if (this.lastFailure !== undefined) {
             return this.endings.sendFailure(this.lastFailure);
         }
         if (this.relay.isCommitted || this.mayHaveRun) {
-            return this.endings.endBroken("no other target can take it");
+            return this.endings.endDisconnected("no other target can take it");
         }
-        const { reason, retryAfterMs } = this.selector.explainNone(this.selector.orderServices(this.routed.route));
+        const { reason, retryAfterMs } = this.selector.explainNoTarget(this.selector.orderServices(this.routed.route));
         return this.endings.refuse(reason, retryAfterMs);
     }
 
@@ -341,7 +341,7 @@
     /** Waits for output; bytes alone don't count, as a target in trouble may trickle some without an event among them. */
     private watchSilence(): void {
         if (this.isRepeatable) {
-            this.silence.start(computeSilenceLimit(this.routed.route, this.relay.isCommitted));
+            this.silence.start(computeInactivityLimit(this.routed.route, this.relay.isCommitted));
         }
     }
 }
--- a/src/gateway/requestLog.ts
+++ b/src/gateway/requestLog.ts
@@ -2,7 +2,7 @@
 import type { Disposable } from "../base/lifecycle.js";
 import type { LogFields, Logger } from "../base/log.js";
 import { SlidingCount } from "../decisions/structures/slidingCount.js";
-import type { OwnAnswerReason } from "./ownAnswer.js";
+import type { RouterResponseReason } from "./routerResponse.js";
 import type { EndedRequest } from "./gatewayService.js";
 
 const spanMs = 1_000;
@@ -14,7 +14,7 @@
 const mostOtherLines = 200;
 /** The same for requests that a router sheds: all that is written of them is work that it is too slow for. */
 const mostShedLines = 10;
-const shedReason: OwnAnswerReason = "busy";
+const shedReason: RouterResponseReason = "busy";
 
 /** Writes one line for each request that ended, up to a rate; what is left out is counted and logged. */
 export class RequestLog implements Disposable {
--- a/src/gateway/requestRetries.ts
+++ b/src/gateway/requestRetries.ts
@@ -18,13 +18,13 @@
     /** Counts the request at the service that it goes to first. */
     public recordFirst(service: string): void {
         const { retryBudgets, clock } = this.context;
-        retryBudgets.find(service).recordFirstTry(this.account ?? noAccount, clock.nowMs());
+        retryBudgets.getOrCreate(service).recordFirstAttempt(this.account ?? noAccount, clock.nowMs());
     }
 
     /** Takes a further send out of the service's budget; false: there is none left. */
     public take(service: string): boolean {
         const { retryBudgets, settings, clock } = this.context;
         const ratio = settings.retryBudget.ratio * usedRetryRatio;
-        return retryBudgets.find(service).takeRetry(this.account ?? noAccount, ratio, clock.nowMs());
+        return retryBudgets.getOrCreate(service).takeRetry(this.account ?? noAccount, ratio, clock.nowMs());
     }
 }
--- a/src/gateway/answerTiming.ts
+++ b/src/gateway/responseTiming.ts
@@ -1,10 +1,10 @@
-import type { ServedRoute } from "./configuration.js";
+import type { RouteConfiguration } from "./configuration.js";
 
 /** Whether an answer kept the objectives of its route, and by what it missed them. */
 export type Timeliness = "in-time" | "late-first-output" | "late-pause";
 
 /** How an answer kept its objectives. */
-export interface TimingFacts {
+export interface TimingDetails {
     readonly objectiveMs: number;
     readonly pauseObjectiveMs: number;
     /** Time from its arrival to its first output; milliseconds. */
@@ -16,13 +16,13 @@
 }
 
 /** Follows one answer as its caller sees it: the first output, and the longest pause between two outputs. */
-export class AnswerTiming {
+export class ResponseTiming {
     private firstAtMs: number | undefined;
     private lastAtMs = 0;
     private longestMs = 0;
 
     public constructor(
-        private readonly route: Pick<ServedRoute, "kind" | "objectiveMs" | "pauseObjectiveMs">,
+        private readonly route: Pick<RouteConfiguration, "kind" | "objectiveMs" | "pauseObjectiveMs">,
         private readonly arrivedAtMs: number,
     ) {}
 
@@ -59,7 +59,7 @@
     }
 
     /** What is known of it, for the log. */
-    public get facts(): TimingFacts {
+    public get details(): TimingDetails {
         const { objectiveMs, pauseObjectiveMs } = this.route;
         const { firstOutputMs, longestPauseMs, timeliness } = this;
         return { objectiveMs, pauseObjectiveMs, firstOutputMs, longestPauseMs, timeliness };
--- a/src/gateway/ownAnswer.ts
+++ b/src/gateway/routerResponse.ts
@@ -1,5 +1,5 @@
 /** Why this router answers by itself. */
-export type OwnAnswerReason =
+export type RouterResponseReason =
     | "no-configuration"
     | "no-route"
     | "unknown-key"
@@ -17,7 +17,7 @@
     | "timeout";
 
 /** What each reason means to the caller. The statuses of the first group say that the request did not run. */
-const answers: Readonly<Record<OwnAnswerReason, readonly [status: number, title: string]>> = {
+const answers: Readonly<Record<RouterResponseReason, readonly [status: number, title: string]>> = {
     "no-configuration": [503, "The router has no configuration yet"],
     "no-target": [503, "No target serves this now"],
     "targets-pausing": [503, "All targets that could serve this want no requests for a time"],
@@ -39,17 +39,17 @@
 
 const bodies = Object.fromEntries(
     Object.entries(answers).map(([code, [status, title]]) => [code, JSON.stringify({ title, status, code })]),
-) as Readonly<Record<OwnAnswerReason, string>>;
+) as Readonly<Record<RouterResponseReason, string>>;
 
 /** An answer of the router's own, as a problem document (RFC 9457). */
-export interface OwnAnswer {
+export interface RouterResponse {
     readonly status: number;
     readonly headers: Readonly<Record<string, string>>;
     readonly body: string;
 }
 
 /** `retryAfterMs`: when to come back; only with statuses that say that the request did not run. */
-export function createOwnAnswer(reason: OwnAnswerReason, retryAfterMs: number | undefined): OwnAnswer {
+export function createRouterResponse(reason: RouterResponseReason, retryAfterMs: number | undefined): RouterResponse {
     const [status] = answers[reason];
     const headers: Record<string, string> = { "content-type": "application/problem+json" };
     if (retryAfterMs !== undefined && (status === 503 || status === 429)) {
--- a/src/gateway/target.ts
+++ b/src/gateway/target.ts
@@ -5,13 +5,13 @@
 import type { TargetAvailability } from "../decisions/health/targetAvailability.js";
 import type { AvailabilityRegistry, TargetIncarnation } from "../decisions/health/availabilityRegistry.js";
 import { ColdLimiter } from "../decisions/limits/coldLimit.js";
-import { HeldParts } from "../decisions/placement/heldParts.js";
+import { CachedParts } from "../decisions/placement/cachedParts.js";
 import type { PromptCandidate } from "../decisions/placement/promptPlacement.js";
-import type { ServedService } from "./configuration.js";
+import type { ServiceConfiguration } from "./configuration.js";
 import type { TargetEntry } from "./fleetSource.js";
 import type { GrantReply } from "./grants/grantMessage.js";
 import type { ConnectionLimits } from "./targetConnection.js";
-import type { RecordRemoval } from "./removedRecords.js";
+import type { RecordRemoval } from "./recordRemovalTracker.js";
 import { TargetConnections } from "./targetConnections.js";
 
 /** What other routers have under way at a target. */
@@ -49,7 +49,7 @@
     public readonly circuit: CircuitBreaker;
     public readonly cold = new ColdLimiter();
     private cacheTokens = 0;
-    private heldParts = new HeldParts(0);
+    private heldParts = new CachedParts(0);
     private unreportedTokens = 0;
     /** Prompt tokens of this router's requests that have not had their first event. */
     public ownWaitingTokens = 0;
@@ -65,13 +65,13 @@
     /** That its record is gone; undefined: the record is there. */
     public removal: RecordRemoval | undefined;
     /** Since when this router knows of this start of it; monotonic. */
-    public joinedAtMs = Number.NEGATIVE_INFINITY;
+    public incarnationSeenAtMs = Number.NEGATIVE_INFINITY;
     private currentEntry: TargetEntry;
     private currentAvailability: TargetAvailability;
 
     public constructor(
         entry: TargetEntry,
-        service: ServedService | undefined,
+        service: ServiceConfiguration | undefined,
         random: Random,
         limits: ConnectionLimits,
         private readonly availabilities: AvailabilityRegistry,
@@ -128,7 +128,7 @@
      * Brings the owner's report up to date: what waited then has been read at the given speed since. While the owner turns such
      * requests away, the time until it has room counts as a queue.
      */
-    public updateWaiting(tokensPerMs: number, mostUse: number, nowMs: number): void {
+    public updateWaitingTokens(tokensPerMs: number, mostUse: number, nowMs: number): void {
         const { ownerReport } = this;
         const waitingTokens =
             ownerReport === undefined ? 0 : ownerReport.aheadTokens - (nowMs - ownerReport.atMs) * tokensPerMs;
@@ -141,9 +141,9 @@
 
     /** Takes what the target's owner answered. */
     public applyGrantReply(reply: GrantReply, nowMs: number): void {
-        const { mostUse } = reply;
+        const { maxUsage: mostUse } = reply;
         const granted = reply.granted ? reply.newTokens : 0;
-        this.ownerReport = { aheadTokens: reply.aheadTokens + granted, atMs: nowMs };
+        this.ownerReport = { aheadTokens: reply.queuedTokens + granted, atMs: nowMs };
         const isWider = mostUse >= (this.denial?.mostUse ?? 0) || nowMs >= (this.denial?.untilMs ?? 0);
         if (!reply.granted && isWider) {
             this.denial = { mostUse, untilMs: nowMs + reply.retryAfterMs };
@@ -161,11 +161,11 @@
     }
 
     /** Takes the size of the engine's memory; what it is believed to hold is kept while the size stays. */
-    public applyService(service: ServedService | undefined): void {
+    public applyService(service: ServiceConfiguration | undefined): void {
         const cacheTokens = service?.engine?.cacheTokens ?? 0;
         if (cacheTokens !== this.cacheTokens) {
             this.cacheTokens = cacheTokens;
-            this.heldParts = new HeldParts(cacheTokens);
+            this.heldParts = new CachedParts(cacheTokens);
         }
     }
 
@@ -179,24 +179,24 @@
     }
 
     /** Tokens that this router's request writes into the engine's memory. */
-    public recordOwnWritten(tokens: number): void {
+    public recordOwnWrittenTokens(tokens: number): void {
         this.unreportedTokens += tokens;
         this.heldParts.recordWritten(tokens);
     }
 
     /** The same of other routers' requests. */
-    public recordPeerWritten(tokens: number): void {
+    public recordPeerWrittenTokens(tokens: number): void {
         this.heldParts.recordWritten(tokens);
     }
 
     /** What this router's requests wrote since the last call. */
-    public takeWritten(): number {
+    public takeWrittenTokens(): number {
         const tokens = this.unreportedTokens;
         this.unreportedTokens = 0;
         return tokens;
     }
 
-    public get hasUnreported(): boolean {
+    public get hasUnreportedTokens(): boolean {
         return this.unreportedTokens > 0;
     }
 
--- a/src/gateway/targetConnection.ts
+++ b/src/gateway/targetConnection.ts
@@ -45,7 +45,7 @@
     | "cancelled";
 
 /** Takes a target's answer; after `handleEnd` or `handleFailure` nothing more comes. */
-export interface AnswerListener {
+export interface ResponseListener {
     /** The connection is up; false: the request must not be written any more. */
     canStart(): boolean;
     /** The request is being written: from here on it may run. */
@@ -115,7 +115,7 @@
     }
 
     /** Sends a request. */
-    public send(request: TargetRequest, listener: AnswerListener): CancelSend {
+    public send(request: TargetRequest, listener: ResponseListener): CancelSend {
         const exchange = new Exchange(listener, {
             hasSocketError: () => this.hasSocketError,
             hasPeer: () => this.socket?.remotePort !== undefined,
@@ -186,7 +186,7 @@
     private pieces = 0;
 
     public constructor(
-        private readonly listener: AnswerListener,
+        private readonly listener: ResponseListener,
         private readonly owner: ExchangeOwner,
     ) {}
 
--- a/src/gateway/wire.ts
+++ b/src/gateway/wire.ts
@@ -12,7 +12,7 @@
     /** Name of this attempt of the caller; undefined when it sent none. */
     readonly requestId: string | undefined;
     /** How long the caller waits, from now; milliseconds. */
-    readonly timeLeftMs: number | undefined;
+    readonly remainingMs: number | undefined;
     readonly apiKey: string | undefined;
     readonly promptTokens: number;
     readonly maxOutputTokens: number;
@@ -24,7 +24,7 @@
 
 /** What the router adds to a request for its target. */
 export interface ForwardedFields {
-    readonly timeLeftMs: number;
+    readonly remainingMs: number;
     readonly targetId: string;
     readonly clientAccount: string | undefined;
     /** Resume behind this event; undefined to begin anew. */
@@ -42,11 +42,11 @@
 }
 
 /** What a target's answer says of itself. */
-export interface AnswerHead extends TargetSignals {
+export interface ResponseHead extends TargetSignals {
     /** The request it answers, as the target echoes it. */
     readonly requestId: string | undefined;
     /** The target says that it did not run the request. */
-    readonly isNotRun: boolean;
+    readonly isNotExecuted: boolean;
     /** Another target has the address; it did not run the request either. */
     readonly isOtherTarget: boolean;
     /** The answer is signed by the target's engine. */
@@ -61,9 +61,9 @@
     /** Headers for the target: the caller's own without those that only the router may set. */
     encodeForTarget(rawHeaders: readonly string[], fields: ForwardedFields): string[];
     /** `now`: wall-clock time at which the head was received. */
-    decodeAnswer(status: number, headers: IncomingHttpHeaders, now: Date): AnswerHead;
+    decodeResponse(status: number, headers: IncomingHttpHeaders, now: Date): ResponseHead;
     /** Headers for the caller from those of the target's answer. */
     encodeForCaller(headers: IncomingHttpHeaders): Record<string, string | string[]>;
     /** Header of an answer of the router's own that names the request. */
-    encodeOwnAnswer(requestId: string | undefined): Record<string, string>;
+    encodeRouterResponse(requestId: string | undefined): Record<string, string>;
 }
--- a/test/decisions/placement/promptPlacement.test.ts
+++ b/test/decisions/placement/promptPlacement.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from "vitest";
 import { hashFast } from "../../../src/base/hash.js";
 import { SeededRandom } from "../../../src/base/random.js";
-import { HeldParts } from "../../../src/decisions/placement/heldParts.js";
+import { CachedParts } from "../../../src/decisions/placement/cachedParts.js";
 import {
     choosePromptPlacement,
     type PromptCandidate,
@@ -95,7 +95,7 @@
     // Other routers send an engine prompts whose own parts are not reported to this router. These evict a shared part; if it were still
     // assumed to be cached, it would be prefilled again for each request that is sent to the engine because of it.
     it("drops a part when all routers together have written as many tokens as the cache holds", () => {
-        const estimate = new HeldParts(cacheTokens);
+        const estimate = new CachedParts(cacheTokens);
         estimate.recordUse("calendar", sharedTokens);
         const isCached = [];
         for (let written = 0; written <= cacheTokens; written += 25_000) {
@@ -106,7 +106,7 @@
     });
 
     it("requests a report to peers for a part that is new or was not reported for long, and not for each use", () => {
-        const estimate = new HeldParts(cacheTokens);
+        const estimate = new CachedParts(cacheTokens);
         const shouldReport = [];
         for (let use = 0; use < 5; use++) {
             shouldReport.push(estimate.recordUse("calendar", sharedTokens));
@@ -119,7 +119,7 @@
     // cached must be in the engine's cache: a fraction of 0.99 is; an estimate that counts only the router's own parts reaches 0.88.
     it("is mostly correct while another router sends requests", () => {
         const random = new SeededRandom(3);
-        const estimate = new HeldParts(cacheTokens);
+        const estimate = new CachedParts(cacheTokens);
         const engine = new Map<string, number>();
         let correct = 0;
         let estimated = 0;
--- a/test/gateway/endlessAnswers.test.ts
+++ b/test/gateway/endlessResponses.test.ts
@@ -30,7 +30,11 @@
 /** Sends a call that only the endless target can take, and describes what its caller got. */
 async function describeCall(path: string, id: string): Promise<object> {
     const answer = await fixture.current.send({ path, headers: createPromptHeaders(id), body: "b" });
-    return { status: answer.status, isBroken: answer.isBroken, isSound: answer.status === 200 && !answer.isBroken };
+    return {
+        status: answer.status,
+        isBroken: answer.isIncomplete,
+        isSound: answer.status === 200 && !answer.isIncomplete,
+    };
 }
 
 describe("a target that sends bytes without end", () => {
@@ -77,7 +81,7 @@
         const answers = fixture.current.send({ path: "/plan/", headers: createPromptHeaders("a1"), body: "b" });
         await waitUntil(() => server.requests === 1);
         await fixture.current.addTarget("engines", "engine-1");
-        const { status, isBroken, body } = await answers;
+        const { status, isIncomplete: isBroken, body } = await answers;
         expect({ status, isBroken, events: body.split("\n\n").length - 1 }).toEqual({
             status: 200,
             isBroken: false,
--- a/test/gateway/gatewayFixture.ts
+++ b/test/gateway/gatewayFixture.ts
@@ -16,16 +16,16 @@
 import { TargetServer } from "../fakes/usersPlatform/targetServer.js";
 
 /** What a caller got. */
-export interface CallerAnswer {
+export interface CallerResponse {
     readonly status: number;
     readonly headers: IncomingHttpHeaders;
     readonly body: string;
     /** The answer broke off before its end. */
-    readonly isBroken: boolean;
+    readonly isIncomplete: boolean;
 }
 
 /** A caller's request. */
-export interface CallerCall {
+export interface CallerRequest {
     readonly path: string;
     readonly method?: string;
     readonly headers?: Readonly<Record<string, string>>;
@@ -33,7 +33,7 @@
     /** Sends the body in chunks, without a length. */
     readonly isChunked?: boolean;
     /** Leaves after this time; milliseconds. */
-    readonly leaveAfterMs?: number;
+    readonly disconnectAfterMs?: number;
     /** Keeps connections between calls; without it each call has its own. */
     readonly agent?: Agent;
 }
@@ -182,7 +182,7 @@
     }
 
     /** Sends a caller's request to a router, the first one if none is named. */
-    public send(call: CallerCall, router = 0): Promise<CallerAnswer> {
+    public send(call: CallerRequest, router = 0): Promise<CallerResponse> {
         const [address, port] = this.routers[router].settings.callers.split(":");
         return new Promise((resolve, reject) => {
             const request = sendHttp(
@@ -208,7 +208,7 @@
                             status: response.statusCode ?? 0,
                             headers: response.headers,
                             body: Buffer.concat(chunks).toString(),
-                            isBroken: !response.complete,
+                            isIncomplete: !response.complete,
                         }),
                     );
                 },
@@ -220,8 +220,8 @@
             } else {
                 request.end(call.body);
             }
-            if (call.leaveAfterMs !== undefined) {
-                setTimeout(() => request.destroy(new Error("left")), call.leaveAfterMs);
+            if (call.disconnectAfterMs !== undefined) {
+                setTimeout(() => request.destroy(new Error("left")), call.disconnectAfterMs);
             }
         });
     }
--- a/test/gateway/answers.test.ts
+++ b/test/gateway/responses.test.ts
@@ -1,6 +1,6 @@
 import { afterEach, beforeEach, describe, expect, it } from "vitest";
 import type { TargetServer } from "../fakes/usersPlatform/targetServer.js";
-import { createPromptHeaders, GatewayFixture, waitUntil, type CallerAnswer } from "./gatewayFixture.js";
+import { createPromptHeaders, GatewayFixture, waitUntil, type CallerResponse } from "./gatewayFixture.js";
 
 const fixture = { current: new GatewayFixture() };
 
@@ -12,8 +12,8 @@
 afterEach(() => fixture.current.dispose());
 
 /** What matters of an answer to its caller. */
-function describeAnswer(answer: CallerAnswer): object {
-    const { status, isBroken, body } = answer;
+function describeAnswer(answer: CallerResponse): object {
+    const { status, isIncomplete: isBroken, body } = answer;
     const isOwn = answer.headers["content-type"] === "application/problem+json";
     return {
         status,
@@ -214,7 +214,9 @@
         const target = await startPlain();
         target.usual = "hang";
         const headers = { "x-lynxarch-attempt-id": "a1" };
-        await expect(fixture.current.send({ path: "/book/x", headers, leaveAfterMs: 100 })).rejects.toThrow("left");
+        await expect(fixture.current.send({ path: "/book/x", headers, disconnectAfterMs: 100 })).rejects.toThrow(
+            "left",
+        );
         await waitUntil(() => target.received[0]?.isAborted);
         expect(target.received.length).toBe(1);
     });
@@ -261,7 +263,7 @@
         home.scripts.push(script);
         const answer = await fixture.current.send({ path: "/plan/x", headers: createPromptHeaders("a1") });
         const other = home === first ? second : first;
-        expect(answer.isBroken).toBe(false);
+        expect(answer.isIncomplete).toBe(false);
         expect(answer.body.match(/id: \d/g)).toEqual(["id: 1", "id: 2", "id: 3", "id: 4", "id: 5"]);
         expect(other.received.map(request => request.headers["last-event-id"])).toEqual(["2"]);
     });
