--- a/src/decisions/admission/denialCache.ts
+++ b/src/decisions/admission/denialCache.ts
@@ -14,7 +14,7 @@
  */
 import { LRUCache } from "lru-cache";
 
-/** Maximum time for which a denial is cached: engines whose owners were not asked may have capacity sooner. Milliseconds. */
+/** Maximum time for which a denial is cached: engines without a recent grant request may have capacity sooner. Milliseconds. */
 const maxCacheMs = 30;
 /** Utilization from which the requesting router's load extends the cache time. */
 const extendedCacheThreshold = 0.5;
@@ -45,7 +45,7 @@
     private readonly denials = new LRUCache<string, Denial>({ max: maxAccounts });
 
     /**
-     * Records that all owners asked for a request have denied it. `maxUsage`: fraction of an engine's limit that the request may use;
+     * Records that a request was denied by each owner it was sent to. `maxUsage`: fraction of an engine's limit that the request may use;
      * `capacityMs`: time until the first of the engines has capacity.
      */
     public record(
@@ -66,11 +66,11 @@
     }
 }
 
-function computeCacheMs({ utilization, accountFraction: accountPart, routerCount }: RequestingRouter): number {
+function computeCacheMs({ utilization, accountFraction, routerCount }: RequestingRouter): number {
     const loadFraction = Math.min(
         1,
         Math.max(0, (utilization - extendedCacheThreshold) / (maxCacheThreshold - extendedCacheThreshold)),
     );
-    const spreadFraction = Math.min(1, spreadTolerance / Math.max(1, accountPart * routerCount));
+    const spreadFraction = Math.min(1, spreadTolerance / Math.max(1, accountFraction * routerCount));
     return maxCacheMs * Math.max(loadFraction, spreadFraction);
 }
--- a/src/decisions/admission/engineBudget.ts
+++ b/src/decisions/admission/engineBudget.ts
@@ -82,21 +82,21 @@
     /** Prompt tokens queued for prefill. */
     public countQueuedTokens(rate: EngineRate, nowMs: number): number {
         this.removeOld(nowMs);
-        return this.entries.reduce((sum, grant) => sum + countQueued(grant, rate, nowMs), 0);
+        return this.entries.reduce((sum, grant) => sum + countRemainingTokens(grant, rate, nowMs), 0);
     }
 
     /** Decides on a request and records the grant. A request that is received twice is recorded once. */
     public check(request: PrefillRequest, rate: EngineRate, nowMs: number): PrefillDecision {
-        const aheadTokens = this.countQueuedTokens(rate, nowMs);
+        const queuedTokens = this.countQueuedTokens(rate, nowMs);
         const windowTokens = rate.tokensPerMs * request.windowMs;
         const usedTokens = this.countUsed(request.windowMs, nowMs);
         if (this.running.has(request.id)) {
-            return { granted: true, queuedTokens: aheadTokens, usage: usedTokens / windowTokens, retryAfterMs: 0 };
+            return { granted: true, queuedTokens, usage: usedTokens / windowTokens, retryAfterMs: 0 };
         }
         const limit = windowTokens * rate.readingShare * request.maxUsage;
         const waits = [
             this.running.size >= rate.slots ? noSlotRetryMs : 0,
-            Math.max(0, aheadTokens - request.maxQueuedTokens) / rate.tokensPerMs,
+            Math.max(0, queuedTokens - request.maxQueuedTokens) / rate.tokensPerMs,
             this.computeCapacityMs(request, limit, nowMs),
         ];
         const retryAfterMs = Math.max(...waits);
@@ -104,8 +104,8 @@
         if (granted) {
             this.record(request, rate, nowMs);
         }
-        const use = (usedTokens + (granted ? request.tokens : 0)) / windowTokens;
-        return { granted, queuedTokens: aheadTokens, usage: use, retryAfterMs };
+        const usage = (usedTokens + (granted ? request.tokens : 0)) / windowTokens;
+        return { granted, queuedTokens, usage, retryAfterMs };
     }
 
     /** Records a request that is sent regardless of the limit. */
@@ -141,21 +141,17 @@
     }
 
     /** Time until the limit has capacity for the request; a prompt larger than the limit waits until no grant is in the window. */
-    private computeCapacityMs(
-        { windowMs: spanMs, tokens, maxUsage: mostUse }: PrefillRequest,
-        limit: number,
-        nowMs: number,
-    ): number {
-        const used = this.entries.filter(grant => nowMs - grant.grantedAtMs < spanMs);
+    private computeCapacityMs({ windowMs, tokens, maxUsage }: PrefillRequest, limit: number, nowMs: number): number {
+        const used = this.entries.filter(grant => nowMs - grant.grantedAtMs < windowMs);
         let activeTokens = used.reduce((sum, grant) => sum + grant.tokens, 0);
         let capacityMs = 0;
-        const ownTokens = mostUse > 1 ? 0 : tokens * ownTokensWeight;
+        const ownTokens = maxUsage > 1 ? 0 : tokens * ownTokensWeight;
         for (const grant of used) {
             if (activeTokens + ownTokens <= limit) {
                 break;
             }
             activeTokens -= grant.tokens;
-            capacityMs = grant.grantedAtMs + spanMs - nowMs;
+            capacityMs = grant.grantedAtMs + windowMs - nowMs;
         }
         return capacityMs;
     }
@@ -173,7 +169,11 @@
 }
 
 /** Tokens of a grant that the engine has not prefilled yet. */
-function countQueued({ tokens, prefilledAtMs, hasStarted }: Grant, { tokensPerMs }: EngineRate, nowMs: number): number {
+function countRemainingTokens(
+    { tokens, prefilledAtMs, hasStarted }: Grant,
+    { tokensPerMs }: EngineRate,
+    nowMs: number,
+): number {
     if (hasStarted) {
         return 0;
     }
--- a/src/decisions/admission/promptAdmission.ts
+++ b/src/decisions/admission/promptAdmission.ts
@@ -51,7 +51,7 @@
 const surplusWaitFraction = 0.15;
 /**
  * Surplus usage above which an account that has been served its fair share yields to others. Above 1, so that the fair level can rise
- * when there is capacity: the level is the mean of the served tokens, and would only ever fall if all accounts were held to it.
+ * when there is capacity: the level is the mean of the served tokens, and would only ever fall if all accounts were limited to it.
  */
 const maxSurplusUsage = 1.25;
 /** From this fraction of idle engines on there is capacity for all accounts. */
@@ -115,15 +115,15 @@
 /** Computes the bounds that the owner of an engine applies to a request. */
 export function computePromptBounds(view: Omit<PromptAdmissionView, "expectedMs" | "idleShare">): PromptBounds {
     const usableMs = computeUsableMs(view);
-    const mostWaitMs = Math.max(usableMs - view.unloadedMs, usableMs / 2);
-    const mostUse = computeMaxUsage(view.shareUse);
+    const maxWaitMs = Math.max(usableMs - view.unloadedMs, usableMs / 2);
+    const maxUsage = computeMaxUsage(view.shareUse);
     return isBeyondShare(view.shareUse)
         ? {
-              maxWaitMs: Math.min(mostWaitMs, view.pauseObjectiveMs * overSharePauseFraction),
-              maxUsage: mostUse,
+              maxWaitMs: Math.min(maxWaitMs, view.pauseObjectiveMs * overSharePauseFraction),
+              maxUsage,
               reason: "over-share",
           }
-        : { maxWaitMs: mostWaitMs, maxUsage: mostUse, reason: "late" };
+        : { maxWaitMs, maxUsage, reason: "late" };
 }
 
 /** Maximum fraction of an engine's limit that a request of the account may use. */
@@ -189,9 +189,9 @@
 
 function computeUsableMs({
     objectiveMs,
-    remainingMs: timeLeftMs,
+    remainingMs,
 }: Pick<PromptAdmissionView, "objectiveMs" | "remainingMs">): number {
-    return Math.min(objectiveMs, timeLeftMs) * usableFraction;
+    return Math.min(objectiveMs, remainingMs) * usableFraction;
 }
 
 /**
--- a/src/decisions/placement/placement.ts
+++ b/src/decisions/placement/placement.ts
@@ -8,10 +8,10 @@
  *
  * Every candidate has a score in milliseconds: expected wait, slowdown by a fuller batch, and distance. Two candidates
  * per (account, prefix), selected by rendezvous hashing, have an advantage, as do targets that are reported to have cached the prefix.
- * The advantage is the computing time that the cached prefix saves, limited to {@link maxAffinityAdvantageMs}. A target without capacity is
- * excluded while another one has capacity, so affinity outweighs an idle target only if reports are stale. There are two rendezvous
- * candidates instead of one, so that a hot prefix has an alternative target when the first one is full. Near-equal scores are
- * decided at random, so that routers with the same stale view don't all choose the same target.
+ * The advantage is the computing time that the cached prefix saves, limited to {@link maxAffinityAdvantageMs}. A target without
+ * capacity is excluded while another one has capacity, so affinity outweighs an idle target only if reports are stale. There are two
+ * rendezvous candidates instead of one, so that a hot prefix has an alternative target when the first one is full. Near-equal scores
+ * are decided at random, so that routers with the same stale view don't all choose the same target.
  */
 import { hashToNumber, mixHashes } from "../../base/hash.js";
 import type { Random } from "../../base/random.js";
--- a/src/decisions/structures/indexedHeap.ts
+++ b/src/decisions/structures/indexedHeap.ts
@@ -68,6 +68,7 @@
         return this.nodes[0];
     }
 
+    /** Moves a node towards the root until its parent is before it; returns its new position. */
     private sortUp(start: number): number {
         let position = start;
         while (position > 0) {
@@ -86,18 +87,18 @@
         for (;;) {
             const left = 2 * position + 1;
             const right = left + 1;
-            let least = position;
-            if (left < this.nodes.length && this.isBefore(left, least)) {
-                least = left;
+            let smallest = position;
+            if (left < this.nodes.length && this.isBefore(left, smallest)) {
+                smallest = left;
             }
-            if (right < this.nodes.length && this.isBefore(right, least)) {
-                least = right;
+            if (right < this.nodes.length && this.isBefore(right, smallest)) {
+                smallest = right;
             }
-            if (least === position) {
+            if (smallest === position) {
                 return;
             }
-            this.setSwapped(position, least);
-            position = least;
+            this.setSwapped(position, smallest);
+            position = smallest;
         }
     }
 
--- a/test/decisions/admission/engineBudget.test.ts
+++ b/test/decisions/admission/engineBudget.test.ts
@@ -3,11 +3,11 @@
 import { EngineBudget, type EngineRate, type PrefillRequest } from "../../../src/decisions/admission/engineBudget.js";
 
 const rate: EngineRate = { tokensPerMs: 50, slots: 4, readingShare: 0.5 };
-const spanMs = 400;
-const limitTokens = rate.tokensPerMs * spanMs * rate.readingShare;
+const windowMs = 400;
+const limitTokens = rate.tokensPerMs * windowMs * rate.readingShare;
 
 function createRequest(id: string, changes: Partial<PrefillRequest> = {}): PrefillRequest {
-    return { id, tokens: 4_000, maxQueuedTokens: 20_000, maxUsage: 1, windowMs: spanMs, ...changes };
+    return { id, tokens: 4_000, maxQueuedTokens: 20_000, maxUsage: 1, windowMs, ...changes };
 }
 
 describe("EngineBudget", () => {
@@ -44,8 +44,8 @@
     // A duplicated datagram would otherwise be charged twice for a request that runs once.
     it("records a request once, however often it is received", () => {
         const budget = new EngineBudget();
-        const uses = [0, 10, 20].map(nowMs => budget.check(createRequest("a"), rate, nowMs).usage);
-        expect(uses).toEqual([uses[0], uses[0], uses[0]]);
+        const usages = [0, 10, 20].map(nowMs => budget.check(createRequest("a"), rate, nowMs).usage);
+        expect(usages).toEqual([usages[0], usages[0], usages[0]]);
     });
 
     it("revokes the grant of a request that was not executed, and counts a running request until it ends", () => {
@@ -54,10 +54,10 @@
         budget.recordEnd("a", false);
         const afterRevocation = budget.check(createRequest("b"), rate, 1);
         budget.recordStart("b");
-        const waiting = budget.countQueuedTokens(rate, 2);
+        const queuedTokens = budget.countQueuedTokens(rate, 2);
         const running = budget.countRunning(2);
         budget.recordEnd("b", true);
-        expect([afterRevocation.granted, waiting, running, budget.countRunning(3)]).toEqual([true, 0, 1, 0]);
+        expect([afterRevocation.granted, queuedTokens, running, budget.countRunning(3)]).toEqual([true, 0, 1, 0]);
     });
 
     it("grants no more requests than the engine has slots", () => {
@@ -85,7 +85,7 @@
                     if (budget.check(createRequest(`r${index}`, { tokens }), { ...rate, slots: 100 }, nowMs).granted) {
                         granted.push({ atMs: nowMs, tokens });
                     }
-                    const inWindow = granted.filter(({ atMs }) => nowMs - atMs < spanMs);
+                    const inWindow = granted.filter(({ atMs }) => nowMs - atMs < windowMs);
                     const tokensBefore = inWindow.slice(0, -1).reduce((sum, grant) => sum + grant.tokens, 0);
                     expect(tokensBefore).toBeLessThanOrEqual(limitTokens);
                 }
--- a/test/decisions/admission/promptAdmission.test.ts
+++ b/test/decisions/admission/promptAdmission.test.ts
@@ -39,7 +39,7 @@
             idle.observe(waitingTokens === 0 ? 1 : 0, 1, nowMs);
             const view = {
                 expectedMs,
-                unloadedMs: unloadedMs,
+                unloadedMs,
                 objectiveMs,
                 pauseObjectiveMs,
                 remainingMs: 6_000,
