--- a/src/decisions/structures/recentIds.ts
+++ b/src/decisions/structures/recentIds.ts
@@ -23,7 +23,7 @@
     private readonly generations: Generation[] = [];
     private incompleteUntilMs = Number.NEGATIVE_INFINITY;
 
-    public constructor(private readonly limits: RecentIdsLimits) {}
+    public constructor(private readonly bounds: RecentIdsLimits) {}
 
     public add(id: string, nowMs: number): void {
         const generation = this.openGeneration(nowMs);
@@ -50,8 +50,8 @@
         const newest = this.generations[this.generations.length - 1];
         const isFull =
             newest === undefined ||
-            newest.ids.size >= Math.ceil(this.limits.maxIds / generationCount) ||
-            nowMs - newest.startedAtMs >= this.limits.retentionMs / generationCount;
+            newest.ids.size >= Math.ceil(this.bounds.maxIds / generationCount) ||
+            nowMs - newest.startedAtMs >= this.bounds.retentionMs / generationCount;
         if (!isFull) {
             return newest;
         }
@@ -63,13 +63,13 @@
 
     private removeOldest(nowMs: number): void {
         let oldest = this.generations[0];
-        while (oldest !== undefined && oldest.newestAtMs + this.limits.retentionMs <= nowMs) {
+        while (oldest !== undefined && oldest.newestAtMs + this.bounds.retentionMs <= nowMs) {
             this.generations.shift();
             oldest = this.generations[0];
         }
         if (this.generations.length > generationCount + 1 && oldest !== undefined) {
             this.generations.shift();
-            this.incompleteUntilMs = oldest.newestAtMs + this.limits.retentionMs;
+            this.incompleteUntilMs = oldest.newestAtMs + this.bounds.retentionMs;
         }
     }
 }
