--- a/src/decisions/structures/indexedHeap.ts
+++ b/src/decisions/structures/indexedHeap.ts
@@ -4,15 +4,15 @@
     order: number;
 }
 
-/** A key with its priority, as {@link IndexedHeap.getMin} shows it. */
+/** A key with its priority, as returned by {@link IndexedHeap.getMin}. */
 export interface HeapEntry<K> {
     readonly key: K;
     readonly priority: number;
 }
 
 /**
- * A binary heap whose entries can be found, moved and removed by key; each step costs O(log n).
- * Entries of equal priority come out in the order of their last update, so that equals take turns.
+ * A binary min-heap whose entries can be found, updated and removed by key; each operation costs O(log n).
+ * Entries of equal priority are ordered by their last update, which gives a round robin among them.
  */
 export class IndexedHeap<K> {
     private readonly nodes: HeapNode<K>[] = [];
@@ -27,7 +27,7 @@
         return this.positions.has(key);
     }
 
-    /** Adds the key, or moves it when it is there already. */
+    /** Adds the key, or updates its priority if it is in the heap already. */
     public set(key: K, priority: number): void {
         const order = this.nextOrder;
         this.nextOrder += 1;
@@ -47,7 +47,7 @@
         this.sortDown(this.sortUp(position));
     }
 
-    /** Removes the key; false when it was not there. */
+    /** Removes the key; false if it was not in the heap. */
     public remove(key: K): boolean {
         const position = this.positions.get(key);
         if (position === undefined) {
@@ -63,11 +63,12 @@
         return true;
     }
 
-    /** The entry of least priority, left in place. */
+    /** The entry with the lowest priority value, without removing it. */
     public getMin(): HeapEntry<K> | undefined {
         return this.nodes[0];
     }
 
+    /** Moves a node towards the root until its parent is before it; returns its new position. */
     private sortUp(start: number): number {
         let position = start;
         while (position > 0) {
@@ -86,18 +87,18 @@
         for (;;) {
             const left = 2 * position + 1;
             const right = left + 1;
-            let least = position;
-            if (left < this.nodes.length && this.isBefore(left, least)) {
-                least = left;
+            let smallest = position;
+            if (left < this.nodes.length && this.isBefore(left, smallest)) {
+                smallest = left;
             }
-            if (right < this.nodes.length && this.isBefore(right, least)) {
-                least = right;
+            if (right < this.nodes.length && this.isBefore(right, smallest)) {
+                smallest = right;
             }
-            if (least === position) {
+            if (smallest === position) {
                 return;
             }
-            this.setSwapped(position, least);
-            position = least;
+            this.setSwapped(position, smallest);
+            position = smallest;
         }
     }
 
--- a/src/decisions/structures/windowedSum.ts
+++ b/src/decisions/structures/windowedSum.ts
@@ -1,13 +1,13 @@
-/** Parts that the span is cut into; the sum is exact to one part. */
+/** Number of equal parts of the window; the sum is accurate to one part. */
 const partCount = 8;
 
-/** A sum over about the last span of time, in constant memory. */
+/** A sum over a sliding time window in constant memory, accurate to one part of the window. */
 export class WindowedSum {
     private readonly parts = new Array<number>(partCount).fill(0);
     private newestPart = -partCount;
     private total = 0;
 
-    public constructor(private readonly spanMs: number) {}
+    public constructor(private readonly windowMs: number) {}
 
     public add(amount: number, nowMs: number): void {
         this.advance(nowMs);
@@ -20,27 +20,27 @@
         return Math.max(0, this.total);
     }
 
-    /** The same over the newest part of the span alone; what is older than a part of it counts in proportion. */
+    /** Sum over the last `recentMs` of the window; a part that is only partly within that time counts in proportion. */
     public getRecent(recentMs: number, nowMs: number): number {
         this.advance(nowMs);
-        const partMs = this.spanMs / partCount;
-        let leftMs = Math.min(recentMs, this.spanMs);
+        const partMs = this.windowMs / partCount;
+        let remainingMs = Math.min(recentMs, this.windowMs);
         let coveredMs = nowMs - this.newestPart * partMs;
         let sum = 0;
-        for (let step = 0; step < partCount && leftMs > 0; step++) {
+        for (let step = 0; step < partCount && remainingMs > 0; step++) {
             const amount = this.parts[(this.newestPart - step + partCount) % partCount];
-            sum += leftMs >= coveredMs ? amount : (amount * leftMs) / coveredMs;
-            leftMs -= coveredMs;
+            sum += remainingMs >= coveredMs ? amount : (amount * remainingMs) / coveredMs;
+            remainingMs -= coveredMs;
             coveredMs = partMs;
         }
         return Math.max(0, sum);
     }
 
     private advance(nowMs: number): void {
-        const part = Math.max(this.newestPart, Math.floor((nowMs * partCount) / this.spanMs));
+        const part = Math.max(this.newestPart, Math.floor((nowMs * partCount) / this.windowMs));
         const steps = Math.min(partCount, part - this.newestPart);
         for (let step = 0; step < steps; step++) {
-            // The clock's zero point is the process's start, so that the first parts before it have negative numbers.
+            // The clock starts at 0 with the process, so the parts before that have negative numbers.
             const index = (part - step + partCount) % partCount;
             this.total -= this.parts[index];
             this.parts[index] = 0;
