--- a/test/gateway/answerTiming.test.ts
+++ b/test/gateway/answerTiming.test.ts
@@ -1,10 +1,10 @@
 import { describe, expect, it } from "vitest";
 import { AnswerTiming } from "../../src/gateway/answerTiming.js";
 
-describe("the timing of an answer", () => {
+describe("the timing of a response", () => {
     const route = { kind: "stream", objectiveMs: 800, pauseObjectiveMs: 400 } as const;
 
-    /** What is known of an answer whose outputs come at these times after the request. */
+    /** Measurements of a response whose outputs are sent at these times after the request. */
     function describeTiming(atMs: readonly number[]): unknown {
         const timing = new AnswerTiming(route, 1_000);
         atMs.forEach(time => timing.recordOutput(1_000 + time));
@@ -12,7 +12,7 @@
         return [firstOutputMs, longestPauseMs, timeliness];
     }
 
-    it("tells what the caller had to wait for", () => {
+    it("reports the first output, the longest pause and the timeliness", () => {
         expect([[], [700, 800], [900, 950], [100, 300, 800, 900]].map(describeTiming)).toMatchInlineSnapshot(`
           [
             [
--- a/test/gateway/answers.test.ts
+++ b/test/gateway/answers.test.ts
@@ -11,16 +11,16 @@
 
 afterEach(() => fixture.current.dispose());
 
-/** What matters of an answer to its caller. */
-function describeAnswer(answer: CallerAnswer): object {
-    const { status, isBroken, body } = answer;
-    const isOwn = answer.headers["content-type"] === "application/problem+json";
+/** The parts of a response that the tests compare. */
+function describeResponse(response: CallerAnswer): object {
+    const { status, isBroken, body } = response;
+    const isFromRouter = response.headers["content-type"] === "application/problem+json";
     return {
         status,
         isBroken,
-        body: isOwn ? (JSON.parse(body) as { code: string }).code : body,
-        signature: answer.headers["x-lynxarch-engine-stamp"],
-        retryAfter: answer.headers["retry-after"] !== undefined,
+        body: isFromRouter ? (JSON.parse(body) as { code: string }).code : body,
+        signature: response.headers["x-lynxarch-engine-stamp"],
+        retryAfter: response.headers["retry-after"] !== undefined,
     };
 }
 
@@ -30,8 +30,8 @@
     return target;
 }
 
-describe("an answer of a plain service", () => {
-    it("goes to its caller as the target gave it, and the request to the target as the caller sent it", async () => {
+describe("a response of a plain service", () => {
+    it("is relayed to its caller unchanged, and the request to the target without the headers that only the router may set", async () => {
         const target = await startPlain();
         const headers = {
             "x-lynxarch-attempt-id": "a1",
@@ -41,10 +41,10 @@
             "kv-from": "10.0.0.1:80/x",
             "x-other": "kept",
         };
-        const answer = await fixture.current.send({ path: "/book/seat?row=1", body: "seat 4", headers });
-        const { method, url, body, headers: got } = target.received[0];
-        const { host, "content-length": length, "x-other": other, ...rest } = got;
-        expect(describeAnswer(answer)).toMatchInlineSnapshot(`
+        const response = await fixture.current.send({ path: "/book/seat?row=1", body: "seat 4", headers });
+        const { method, url, body, headers: receivedHeaders } = target.received[0];
+        const { host, "content-length": length, "x-other": other, ...rest } = receivedHeaders;
+        expect(describeResponse(response)).toMatchInlineSnapshot(`
           {
             "body": "answer to a1",
             "isBroken": false,
@@ -73,16 +73,19 @@
         expect([rest["x-lynxarch-expect-instance"], rest.authorization]).toEqual(["app-1", undefined]);
     });
 
-    // The target resets the connection in the middle of an answer that has no length. HTTP clients take any end of the
-    // connection for the end of such an answer, and the caller would book the part that it got. When the reset comes right
-    // behind the bytes, libuv even tells a clean end: it reads the bytes, sees the hang-up and does not ask for the error.
+    // The target resets the connection in the middle of a response without a length. HTTP clients treat any end of the
+    // connection as the end of such a response, so the caller would accept the partial body. If the reset directly follows the
+    // bytes, libuv reports a regular end: it reads the bytes, detects the hang-up and does not query the error.
     it.each(["reset-unframed", "reset-unframed-at-once"] as const)(
-        "that has no length is no success (%s)",
+        "without a length is a failure if its connection is reset (%s)",
         async script => {
             const target = await startPlain();
             target.scripts.push(script);
-            const answer = await fixture.current.send({ path: "/book/x", headers: { "x-lynxarch-attempt-id": "a1" } });
-            expect(describeAnswer(answer)).toMatchInlineSnapshot(`
+            const response = await fixture.current.send({
+                path: "/book/x",
+                headers: { "x-lynxarch-attempt-id": "a1" },
+            });
+            expect(describeResponse(response)).toMatchInlineSnapshot(`
           {
             "body": "target-broke",
             "isBroken": false,
@@ -94,11 +97,11 @@
         },
     );
 
-    it("that has no length and ends with its connection is whole", async () => {
+    it("without a length is complete if its connection is closed", async () => {
         const target = await startPlain();
         target.scripts.push("unframed");
-        const answer = await fixture.current.send({ path: "/book/x", headers: { "x-lynxarch-attempt-id": "a1" } });
-        expect(describeAnswer(answer)).toMatchInlineSnapshot(`
+        const response = await fixture.current.send({ path: "/book/x", headers: { "x-lynxarch-attempt-id": "a1" } });
+        expect(describeResponse(response)).toMatchInlineSnapshot(`
           {
             "body": "answer to a1",
             "isBroken": false,
@@ -109,14 +112,14 @@
         `);
     });
 
-    // The target answers a request twice. The second answer arrives where the answer to the next caller's request is
-    // expected, and would be given to that caller.
-    it("that comes a second time is given to nobody else", async () => {
+    // The target responds to a request twice. The second response arrives where the response to the next caller's request is
+    // expected, and would be relayed to that caller.
+    it("that is sent twice is not relayed to another caller", async () => {
         const target = await startPlain();
         target.scripts.push("late-extra", "hang");
         await fixture.current.send({ path: "/book/x", headers: { "x-lynxarch-attempt-id": "a1" } });
         const second = await fixture.current.send({ path: "/book/x", headers: { "x-lynxarch-attempt-id": "a2" } });
-        expect(describeAnswer(second)).toMatchInlineSnapshot(`
+        expect(describeResponse(second)).toMatchInlineSnapshot(`
           {
             "body": "target-broke",
             "isBroken": false,
@@ -127,13 +130,13 @@
         `);
     });
 
-    // The target runs the request and breaks off its answer. The call may not be repeated, and it may have run: the caller
-    // is told so, with a status that promises nothing, and the target sees the request once.
-    it("that breaks off is not asked for again when the request may run only once", async () => {
+    // The target executes the request and disconnects during its response. The request must not be repeated, and the caller
+    // receives a status that does not exclude execution. The target receives the request once.
+    it("that is truncated is not requested again if the request must not be repeated", async () => {
         const target = await startPlain();
         target.usual = "break-off";
-        const answer = await fixture.current.send({ path: "/book/x", headers: { "x-lynxarch-attempt-id": "a1" } });
-        expect(describeAnswer(answer)).toMatchInlineSnapshot(`
+        const response = await fixture.current.send({ path: "/book/x", headers: { "x-lynxarch-attempt-id": "a1" } });
+        expect(describeResponse(response)).toMatchInlineSnapshot(`
           {
             "body": "target-broke",
             "isBroken": false,
@@ -145,29 +148,29 @@
         expect(target.ran.length).toBe(1);
     });
 
-    // The same break, of a call that may be repeated: another target answers, and the caller notices nothing.
-    it("that breaks off is asked for once more elsewhere when the request may be repeated", async () => {
+    // The same disconnect for a request that may be repeated: another target responds, and the caller receives a complete response.
+    it("that is truncated is requested from another target if the request may be repeated", async () => {
         const target = await startPlain();
         const other = await fixture.current.addTarget("app", "app-2");
         target.usual = "break-off";
         other.usual = "break-off";
         await new Promise(resolve => setTimeout(resolve, 600));
         other.usual = "serve";
-        const answers = [];
+        const statuses = [];
         for (let index = 0; index < 4; index++) {
             const headers = { "x-lynxarch-attempt-id": `a${index}` };
-            answers.push((await fixture.current.send({ path: "/find/x", method: "GET", headers })).status);
+            statuses.push((await fixture.current.send({ path: "/find/x", method: "GET", headers })).status);
         }
-        expect(answers).toEqual([200, 200, 200, 200]);
+        expect(statuses).toEqual([200, 200, 200, 200]);
     });
 
-    // The target is full and says that it did not run the request; the route allows one target only. The caller is told
-    // the same, and when to come back.
-    it("is a refusal that says when to come back, when the target did not run the request", async () => {
+    // The target is full and reports that it did not execute the request; the route allows one attempt only. The caller
+    // receives a refusal with a Retry-After header.
+    it("is a refusal with a retry time if the target did not execute the request", async () => {
         const target = await startPlain();
         target.scripts.push("shed");
-        const answer = await fixture.current.send({ path: "/book/x", headers: { "x-lynxarch-attempt-id": "a1" } });
-        expect(describeAnswer(answer)).toMatchInlineSnapshot(`
+        const response = await fixture.current.send({ path: "/book/x", headers: { "x-lynxarch-attempt-id": "a1" } });
+        expect(describeResponse(response)).toMatchInlineSnapshot(`
           {
             "body": "no-target",
             "isBroken": false,
@@ -178,11 +181,11 @@
         `);
     });
 
-    it("is passed on with its signature when it is a failure of the target's own", async () => {
+    it("is relayed with its signature if it is an error response of the target", async () => {
         const target = await startPlain();
         target.usual = "error";
-        const answer = await fixture.current.send({ path: "/book/x", headers: { "x-lynxarch-attempt-id": "a1" } });
-        expect(describeAnswer(answer)).toMatchInlineSnapshot(`
+        const response = await fixture.current.send({ path: "/book/x", headers: { "x-lynxarch-attempt-id": "a1" } });
+        expect(describeResponse(response)).toMatchInlineSnapshot(`
           {
             "body": "engine error",
             "isBroken": false,
@@ -193,12 +196,12 @@
         `);
     });
 
-    // A target hangs. The caller waits for as long as the route allows and gets a final answer then, not when it leaves.
-    it("that never comes ends with the route's timeout", async () => {
+    // A target hangs. The caller receives a final response when the route's time-out is reached, before the caller itself times out.
+    it("that never arrives is replaced by an error at the route's time-out", async () => {
         const target = await startPlain();
         target.usual = "hang";
-        const answer = await fixture.current.send({ path: "/book/x", headers: { "x-lynxarch-attempt-id": "a1" } });
-        expect(describeAnswer(answer)).toMatchInlineSnapshot(`
+        const response = await fixture.current.send({ path: "/book/x", headers: { "x-lynxarch-attempt-id": "a1" } });
+        expect(describeResponse(response)).toMatchInlineSnapshot(`
           {
             "body": "timeout",
             "isBroken": false,
@@ -209,23 +212,25 @@
         `);
     });
 
-    // A caller leaves while its target works. The target must learn it, or it works on for nobody.
-    it("is no longer wanted when its caller leaves", async () => {
+    // A caller disconnects while its target executes the request. The target's connection must be closed, or it continues in vain.
+    it("is cancelled at the target when its caller disconnects", async () => {
         const target = await startPlain();
         target.usual = "hang";
         const headers = { "x-lynxarch-attempt-id": "a1" };
-        await expect(fixture.current.send({ path: "/book/x", headers, leaveAfterMs: 100 })).rejects.toThrow("left");
+        await expect(fixture.current.send({ path: "/book/x", headers, leaveAfterMs: 100 })).rejects.toThrow(
+            "disconnected",
+        );
         await waitUntil(() => target.received[0]?.isAborted);
         expect(target.received.length).toBe(1);
     });
 });
 
 describe("a stream", () => {
-    it("is passed on event by event", async () => {
+    it("is relayed event by event", async () => {
         await fixture.current.addTarget("engines", "engine-1");
         await fixture.current.addRouter();
-        const answer = await fixture.current.send({ path: "/plan/x", headers: createPromptHeaders("a1") });
-        expect(describeAnswer(answer)).toMatchInlineSnapshot(`
+        const response = await fixture.current.send({ path: "/plan/x", headers: createPromptHeaders("a1") });
+        expect(describeResponse(response)).toMatchInlineSnapshot(`
           {
             "body": "id: 1
           data: piece 1
@@ -251,28 +256,31 @@
         `);
     });
 
-    // An engine breaks off in the middle of an event. The stream goes on at another engine behind the last whole event; the
-    // caller gets each event once, under the first engine's head.
-    it.each(["tear-event", "break-off"] as const)("goes on at another engine after a break (%s)", async script => {
-        const first = await fixture.current.addTarget("engines", "engine-1");
-        const second = await fixture.current.addTarget("engines", "engine-2");
-        await fixture.current.addRouter();
-        const home = await findHome(first, second);
-        home.scripts.push(script);
-        const answer = await fixture.current.send({ path: "/plan/x", headers: createPromptHeaders("a1") });
-        const other = home === first ? second : first;
-        expect(answer.isBroken).toBe(false);
-        expect(answer.body.match(/id: \d/g)).toEqual(["id: 1", "id: 2", "id: 3", "id: 4", "id: 5"]);
-        expect(other.received.map(request => request.headers["last-event-id"])).toEqual(["2"]);
-    });
+    // An engine disconnects in the middle of an event. The stream is resumed at another engine after the last complete event;
+    // the caller receives each event once, with the first engine's response head.
+    it.each(["tear-event", "break-off"] as const)(
+        "is resumed at another engine after a disconnect (%s)",
+        async script => {
+            const first = await fixture.current.addTarget("engines", "engine-1");
+            const second = await fixture.current.addTarget("engines", "engine-2");
+            await fixture.current.addRouter();
+            const preferred = await findPreferred(first, second);
+            preferred.scripts.push(script);
+            const response = await fixture.current.send({ path: "/plan/x", headers: createPromptHeaders("a1") });
+            const other = preferred === first ? second : first;
+            expect(response.isBroken).toBe(false);
+            expect(response.body.match(/id: \d/g)).toEqual(["id: 1", "id: 2", "id: 3", "id: 4", "id: 5"]);
+            expect(other.received.map(request => request.headers["last-event-id"])).toEqual(["2"]);
+        },
+    );
 
-    // The same break on a route whose streams may not be resumed: the caller must see that the end is missing.
-    it("shows that it broke off where it can't go on", async () => {
+    // The same disconnect on a route whose streams must not be resumed: the caller must be able to detect the truncation.
+    it("ends visibly truncated if it can't be resumed", async () => {
         const engine = await fixture.current.addTarget("engines", "engine-1");
         await fixture.current.addRouter();
         engine.scripts.push("break-off");
-        const answer = await fixture.current.send({ path: "/once/x", headers: createPromptHeaders("a1") });
-        expect(describeAnswer(answer)).toMatchInlineSnapshot(`
+        const response = await fixture.current.send({ path: "/once/x", headers: createPromptHeaders("a1") });
+        expect(describeResponse(response)).toMatchInlineSnapshot(`
           {
             "body": "id: 1
           data: piece 1
@@ -291,11 +299,11 @@
     });
 });
 
-/** The engine that requests with the usual prompt go to. */
-async function findHome(first: TargetServer, second: TargetServer): Promise<TargetServer> {
+/** The engine that is selected for requests with the usual prompt. */
+async function findPreferred(first: TargetServer, second: TargetServer): Promise<TargetServer> {
     await fixture.current.send({ path: "/plan/x", headers: createPromptHeaders("a0") });
-    const home = first.received.length > 0 ? first : second;
+    const preferred = first.received.length > 0 ? first : second;
     first.received.length = 0;
     second.received.length = 0;
-    return home;
+    return preferred;
 }
--- a/test/gateway/coldTarget.test.ts
+++ b/test/gateway/coldTarget.test.ts
@@ -50,11 +50,11 @@
     promptParts: [],
     lastEventId: undefined,
 };
-/** Of four sharers each may send one request a second. */
+/** Rate of a cold target for the whole fleet; divided among four sharers, each of them may send one request per second. */
 const coldRequestsPerSecond = 6;
 const targetIds = Array.from({ length: 40 }, (...[, index]) => `e${index}`);
 
-/** A router that knows another one, before a cold target; what it asks the other one goes to `sent`. */
+/** Creates a router with one peer and a cold target; messages to the peer are appended to `sent`. */
 function createRouter(targetId: string, sent: GrantMessage[]): ModelRouter {
     const clock = new ManualClock();
     const router = new ModelRouter({
@@ -106,7 +106,7 @@
 
 const identity = new RequestIdentity(undefined, "POST", "/", undefined);
 
-/** Asks for a send, and books it as the request flow does once it is admitted. */
+/** Requests admission, and opens the send once the request is admitted, as the request flow does. */
 function submitRequest({ context }: ModelRouter, outcomes: boolean[]): void {
     const selector = new TargetSelector(context);
     const figures = new RequestFigures(undefined, 0);
@@ -131,8 +131,8 @@
     });
 }
 
-/** A router and its first request, at a target that the other router owns. */
-function findOwnedElsewhere(): { router: ModelRouter; sent: GrantMessage[]; outcomes: boolean[] } {
+/** Creates a router with a first request to a target that the peer owns. */
+function createWithPeerOwner(): { router: ModelRouter; sent: GrantMessage[]; outcomes: boolean[] } {
     for (const targetId of targetIds) {
         const sent: GrantMessage[] = [];
         const outcomes: boolean[] = [];
@@ -142,7 +142,7 @@
             return { router, sent, outcomes };
         }
     }
-    throw new Error("no target has the other router as its owner and room for a request");
+    throw new Error("none of the targets is owned by the peer and has capacity for a request");
 }
 
 const reply = {
@@ -155,10 +155,10 @@
     retryAfterMs: 0,
 } as const;
 
-describe("a target that has just started", () => {
-    // Requests that wait for the owner's answer all found room at the cold target; sent together they crash it.
-    it("gets no more than its rate when several requests are granted at once", () => {
-        const { router, sent, outcomes } = findOwnedElsewhere();
+describe("a cold target", () => {
+    // Requests that wait for the owner's reply each found capacity at the cold target when it was selected. Sent together they crash it.
+    it("receives no more than its rate when several requests are granted at once", () => {
+        const { router, sent, outcomes } = createWithPeerOwner();
         submitRequest(router, outcomes);
         submitRequest(router, outcomes);
         for (const { grantId } of sent.slice()) {
--- a/test/gateway/endlessAnswers.test.ts
+++ b/test/gateway/endlessAnswers.test.ts
@@ -5,8 +5,8 @@
 const fixture = { current: new GatewayFixture() };
 const endless: EndlessServer[] = [];
 const mostAnswerBytes = 4_000_000;
-/** What the kernel holds between two ends of a connection on loopback, at most. */
-const inFlightBytes = 12_000_000;
+/** Maximum bytes in the kernel's buffers of a loopback connection. */
+const maxKernelBufferBytes = 12_000_000;
 
 beforeEach(async () => {
     fixture.current = new GatewayFixture();
@@ -27,14 +27,18 @@
     return server;
 }
 
-/** Sends a call that only the endless target can take, and describes what its caller got. */
+/** Sends a request that only the endless target can serve, and describes the response that the caller received. */
 async function describeCall(path: string, id: string): Promise<object> {
-    const answer = await fixture.current.send({ path, headers: createPromptHeaders(id), body: "b" });
-    return { status: answer.status, isBroken: answer.isBroken, isSound: answer.status === 200 && !answer.isBroken };
+    const response = await fixture.current.send({ path, headers: createPromptHeaders(id), body: "b" });
+    return {
+        status: response.status,
+        isBroken: response.isBroken,
+        isSound: response.status === 200 && !response.isBroken,
+    };
 }
 
-describe("a target that sends bytes without end", () => {
-    // Its connection must be closed after a bounded number of bytes; read on, one such target takes a router out for all accounts.
+describe("a target that sends endless data", () => {
+    // Its connection must be closed after a bounded number of bytes. Otherwise one such target makes a router unavailable to all accounts.
     it.each([
         ["status-line", "/book/", "app"],
         ["header", "/book/", "app"],
@@ -48,18 +52,18 @@
         ["tiny-pieces", "/once/", "engines"],
         ["tiny-pieces", "/book/", "app"],
         ["unframed", "/once/", "engines"],
-    ] as const)("in a %s (%s) fails its request and is cut off", async (shape, path, service) => {
+    ] as const)("in a %s (%s) fails its request and is disconnected", async (shape, path, service) => {
         await fixture.current.start();
         const server = await addEndless(shape, service);
         await fixture.current.addRouter({ mostAnswerBytes });
         const outcome = await describeCall(path, "a1");
         await waitUntil(() => server.openConnections === 0);
         expect(outcome).toMatchObject({ isSound: false });
-        expect(Math.max(...server.takenBytes)).toBeLessThan(mostAnswerBytes + inFlightBytes);
+        expect(Math.max(...server.takenBytes)).toBeLessThan(mostAnswerBytes + maxKernelBufferBytes);
     });
 
-    // The answer itself is whole; what follows it belongs to no request and must not reach the next one.
-    it("behind a whole answer does no harm to that answer and is cut off", async () => {
+    // The response itself is complete. The bytes after it belong to no request and must not be relayed with the next one.
+    it("after a complete response does not affect that response and is disconnected", async () => {
         await fixture.current.start();
         const server = await addEndless("after-end", "app");
         await fixture.current.addRouter({ mostAnswerBytes });
@@ -68,16 +72,16 @@
         expect(outcome).toMatchObject({ status: 200, isSound: true });
     });
 
-    // A trickle without an event is no sign of work: taken for one, a repeatable request would wait for its deadline.
-    it("slowly gives a repeatable request up to another target", async () => {
+    // Bytes that never complete an event are not progress. If they counted as output, a repeatable request would wait for its deadline.
+    it("at a slow rate loses a repeatable request to another target", async () => {
         const [plan, ...routes] = createConfiguration(1).routes as { readonly goal_ms: number }[];
         await fixture.current.start(createConfiguration(1, { routes: [{ ...plan, goal_ms: 200 }, ...routes] }));
         const server = await addEndless("event", "engines", 20);
         await fixture.current.addRouter();
-        const answers = fixture.current.send({ path: "/plan/", headers: createPromptHeaders("a1"), body: "b" });
+        const pendingResponse = fixture.current.send({ path: "/plan/", headers: createPromptHeaders("a1"), body: "b" });
         await waitUntil(() => server.requests === 1);
         await fixture.current.addTarget("engines", "engine-1");
-        const { status, isBroken, body } = await answers;
+        const { status, isBroken, body } = await pendingResponse;
         expect({ status, isBroken, events: body.split("\n\n").length - 1 }).toEqual({
             status: 200,
             isBroken: false,
@@ -85,8 +89,8 @@
         });
     });
 
-    // Twenty such answers at once must leave the router able to serve the requests of others.
-    it("twenty times at once leaves others served", async () => {
+    // With twenty such responses at once the router must still serve other callers' requests.
+    it("in twenty responses at once does not keep the router from serving others", async () => {
         await fixture.current.start();
         await Promise.all(Array.from({ length: 20 }, () => addEndless("event", "engines")));
         await fixture.current.addTarget("app", "app-1");
--- a/test/gateway/endlessRequests.test.ts
+++ b/test/gateway/endlessRequests.test.ts
@@ -3,8 +3,8 @@
 import { GatewayFixture, host } from "./gatewayFixture.js";
 
 const fixture = { current: new GatewayFixture() };
-/** What the kernel holds between two ends of a connection on loopback, with what a router may read of one request. */
-const mostTakenBytes = 12_000_000;
+/** Maximum bytes in the kernel's buffers of a loopback connection and read by a router of one request. */
+const maxSentBytes = 12_000_000;
 const filler = Buffer.alloc(16_384, "x");
 const start = `POST /book/ HTTP/1.1\r\nHost: ${host}\r\n`;
 const chunked = `${start}Transfer-Encoding: chunked\r\n\r\n`;
@@ -18,7 +18,7 @@
 
 afterEach(() => fixture.current.dispose());
 
-/** Sends bytes as fast as they are taken until the connection is closed; returns how many were taken. */
+/** Sends bytes as fast as the connection accepts them until it is closed; returns the number of bytes sent. */
 function sendEndlessly(before: string, repeated: Buffer): Promise<number> {
     const [address, port] = fixture.current.routers[0].settings.callers.split(":");
     return new Promise(resolve => {
@@ -37,7 +37,7 @@
     });
 }
 
-// Each must be cut off after a bounded number of bytes, with the router free for other callers.
+// Each caller must be disconnected after a bounded number of bytes, and the router must still serve other callers.
 it.each([
     ["request line", "", filler],
     ["path", "GET /", filler],
@@ -47,8 +47,8 @@
     ["chunk extension", `${chunked}4;x=`, filler],
     ["trailer", `${chunked}0\r\nX-Filler: `, filler],
     ["body behind a request", `${start}Content-Length: 1\r\n\r\nb`, filler],
-] as const)("a caller that sends a %s without end is cut off", async (...[, before, repeated]) => {
-    expect(await sendEndlessly(before, repeated)).toBeLessThan(mostTakenBytes);
-    const answer = await fixture.current.send({ path: "/book/", headers: { "x-lynxarch-attempt-id": "a1" } });
-    expect(answer.status).toBe(200);
+] as const)("a caller that sends an endless %s is disconnected", async (...[, before, repeated]) => {
+    expect(await sendEndlessly(before, repeated)).toBeLessThan(maxSentBytes);
+    const response = await fixture.current.send({ path: "/book/", headers: { "x-lynxarch-attempt-id": "a1" } });
+    expect(response.status).toBe(200);
 });
--- a/test/gateway/eventSplitter.property.test.ts
+++ b/test/gateway/eventSplitter.property.test.ts
@@ -15,29 +15,29 @@
         text: `${id === undefined ? "" : `id: ${id}${lineEnd}`}data: ${data}${lineEnd}${lineEnd}`,
     }));
 
-/** Cuts a text into pieces at the given places. */
-function createPieces(data: Buffer, places: readonly number[]): readonly Buffer[] {
-    const sorted = [...new Set(places.map(place => place % (data.length + 1)))].sort((a, b) => a - b);
+/** Splits data into chunks at the given offsets. */
+function createChunks(data: Buffer, offsets: readonly number[]): readonly Buffer[] {
+    const sorted = [...new Set(offsets.map(offset => offset % (data.length + 1)))].sort((a, b) => a - b);
     return [0, ...sorted].map((start, index) => data.subarray(start, sorted[index] ?? data.length));
 }
 
 describe("a stream's events", () => {
-    // Whatever the pieces in which the network delivers a stream, the caller must get each event once, whole and unchanged;
-    // what is left behind the last whole event is a fragment that must not go out.
-    it("are the same however the stream is cut, and a fragment is held back", () => {
+    // However the network splits a stream into chunks, the caller must receive each event once, complete and unchanged.
+    // The data after the last complete event is a fragment that must not be relayed.
+    it("are the same however the stream is split into chunks, and a fragment is retained", () => {
         fc.assert(
             fc.property(
                 fc.array(eventArbitrary, { maxLength: 8 }),
                 fc.array(fc.nat(400), { maxLength: 12 }),
                 fc.constantFrom("", "id: 9", "data: half\n", "\n"),
-                (events, places, fragment) => {
-                    const whole = events.map(event => event.text).join("");
+                (events, offsets, fragment) => {
+                    const complete = events.map(event => event.text).join("");
                     const splitter = new EventSplitter();
-                    const got = createPieces(Buffer.from(whole + fragment), places).flatMap(piece => [
-                        ...splitter.add(piece),
+                    const received = createChunks(Buffer.from(complete + fragment), offsets).flatMap(chunk => [
+                        ...splitter.add(chunk),
                     ]);
-                    expect(got.map(event => event.bytes.toString()).join("")).toBe(whole);
-                    expect(got.map(event => event.id)).toEqual(events.map(event => event.id));
+                    expect(received.map(event => event.bytes.toString()).join("")).toBe(complete);
+                    expect(received.map(event => event.id)).toEqual(events.map(event => event.id));
                     expect(splitter.hasRest).toBe(fragment.length > 0);
                 },
             ),
--- a/test/gateway/gatewayFixture.ts
+++ b/test/gateway/gatewayFixture.ts
@@ -15,12 +15,12 @@
 import { StoreServer } from "../fakes/usersPlatform/storeServer.js";
 import { TargetServer } from "../fakes/usersPlatform/targetServer.js";
 
-/** What a caller got. */
+/** A response as its caller received it. */
 export interface CallerAnswer {
     readonly status: number;
     readonly headers: IncomingHttpHeaders;
     readonly body: string;
-    /** The answer broke off before its end. */
+    /** The connection was closed before the end of the response. */
     readonly isBroken: boolean;
 }
 
@@ -30,18 +30,18 @@
     readonly method?: string;
     readonly headers?: Readonly<Record<string, string>>;
     readonly body?: string;
-    /** Sends the body in chunks, without a length. */
+    /** Sends the body with chunked transfer encoding, without a content length. */
     readonly isChunked?: boolean;
-    /** Leaves after this time; milliseconds. */
+    /** Closes the connection after this time; milliseconds. */
     readonly leaveAfterMs?: number;
-    /** Keeps connections between calls; without it each call has its own. */
+    /** Keeps connections between requests; without it each request has its own connection. */
     readonly agent?: Agent;
 }
 
 export const host = "fleet.example";
 export const key = "key-of-north";
 const seed = 7;
-/** How busy the machine is that runs the tests must not decide what a router answers. */
+/** A constant load of 0, so that the load of the test machine does not affect the routers' decisions. */
 export const idleLoad: LoadSource = {
     shedShare: 0,
     shouldLeaveBalancer: false,
@@ -51,12 +51,12 @@
 };
 const readinessPath = "/api/readyz";
 const deadlineMs = "8000";
-const portsOfBlock = 200;
-/** Blocks for the workers of one run of the tests, and runs on the machine at a time that have blocks of their own. */
-const blocksOfRun = 20;
-const concurrentRuns = 5;
+const portsPerBlock = 200;
+/** Number of port blocks for the workers of one test run, and of concurrent test runs with separate blocks. */
+const blocksPerRun = 20;
+const maxConcurrentRuns = 5;
 
-/** The configuration that most tests run with, in the platform's form. */
+/** The configuration of most tests, in the platform's format. */
 export function createConfiguration(version: number, changes: object = {}): Record<string, unknown> {
     const model = { host, type: "streaming", timeout_ms: 8_000, goal_ms: 4_000, service: "engines", sticky: true };
     const plain = { host, timeout_ms: 4_000, goal_ms: 3_000, service: "app", public: true };
@@ -84,7 +84,7 @@
     };
 }
 
-/** A store, targets and routers on loopback. */
+/** A store, targets and routers on loopback addresses. */
 export class GatewayFixture {
     public readonly store = new StoreServer();
     public readonly targets: TargetServer[] = [];
@@ -122,7 +122,7 @@
         });
     }
 
-    /** Starts a router on a loopback address of its own and waits until it is ready. */
+    /** Starts a router on a separate loopback address and waits until it is ready. */
     public async addRouter(changes: object = {}, mustBeReady = true, load = idleLoad): Promise<GatewayDaemon> {
         const ip = `127.0.0.${this.routers.length + 1}`;
         const settings = gatewaySettingsSchema.parse({
@@ -140,7 +140,7 @@
             coldLimit: { overage: 1.5, slack: 5 },
             stopGraceSeconds: 8,
             connectTimeoutMs: 10_000,
-            // Targets are read each 200 ms, so that the pauses of the tests span several rounds of reading.
+            // Targets are read every 200 ms, so that the pauses of the tests cover several reads.
             drainMs: 500,
             ...changes,
         });
@@ -181,7 +181,7 @@
         return daemon;
     }
 
-    /** Sends a caller's request to a router, the first one if none is named. */
+    /** Sends a caller's request to a router; by default the first one. */
     public send(call: CallerCall, router = 0): Promise<CallerAnswer> {
         const [address, port] = this.routers[router].settings.callers.split(":");
         return new Promise((resolve, reject) => {
@@ -221,7 +221,7 @@
                 request.end(call.body);
             }
             if (call.leaveAfterMs !== undefined) {
-                setTimeout(() => request.destroy(new Error("left")), call.leaveAfterMs);
+                setTimeout(() => request.destroy(new Error("disconnected")), call.leaveAfterMs);
             }
         });
     }
@@ -248,7 +248,7 @@
     };
 }
 
-/** Waits until a condition holds; the test's own time limit ends a wait in vain. */
+/** Waits until a condition is true, or until the test's time-out. */
 export async function waitUntil(check: () => boolean | Promise<boolean>): Promise<void> {
     while (!(await check())) {
         await new Promise(resolve => setTimeout(resolve, 10));
@@ -256,22 +256,22 @@
 }
 
 /**
- * Ports of this process begin here. They lie below those that the system gives to outgoing connections: a port that is free when
- * it is chosen would else be taken by a connection before it is listened on.
+ * First port of this process. The ports lie below the system's range for outgoing connections; otherwise a connection could take a
+ * port between its selection and the call that listens on it.
  */
-const firstPort = 10_000 + computeBlock() * portsOfBlock;
-let portsTaken = 0;
+const firstPort = 10_000 + computeBlock() * portsPerBlock;
+let nextPortIndex = 0;
 
-/** A block that no other worker has: by process ids alone, two workers often had the same one. */
+/** Computes the index of this worker's port block. Derived from process ids alone, two workers often had the same block. */
 function computeBlock(): number {
-    const worker = Number(process.env.VITEST_POOL_ID ?? process.pid) % blocksOfRun;
-    return (process.ppid % concurrentRuns) * blocksOfRun + worker;
+    const worker = Number(process.env.VITEST_POOL_ID ?? process.pid) % blocksPerRun;
+    return (process.ppid % maxConcurrentRuns) * blocksPerRun + worker;
 }
 
-/** A port that nobody listens on just now, and that this process has not named lately. */
+/** Returns a port that is free now and was not recently returned in this process. */
 export async function findFreePort(): Promise<number> {
     for (;;) {
-        const port = firstPort + (portsTaken++ % portsOfBlock);
+        const port = firstPort + (nextPortIndex++ % portsPerBlock);
         if ((await canListen(port)) && (await canBind(port))) {
             return port;
         }
@@ -286,7 +286,7 @@
     });
 }
 
-/** The same for datagrams, which routers exchange. */
+/** Whether a UDP socket can be bound to the port; routers exchange datagrams. */
 function canBind(port: number): Promise<boolean> {
     return new Promise(resolve => {
         const socket = createSocket("udp4");
--- a/test/gateway/withheldRequest.test.ts
+++ b/test/gateway/withheldRequest.test.ts
@@ -12,8 +12,8 @@
 
 afterEach(() => server.current.dispose());
 
-// A connection takes up to a second to be set up, and its target may want nothing any more by then.
-it("is not written once the connection is up, and says so", async () => {
+// Establishing a connection takes up to a second, and the target may have stopped accepting requests by then.
+it("a request that must not start any more is reported as withheld and not written once the connection is established", async () => {
     const connection = new TargetConnection(server.current.address, limits, () => undefined);
     const failure = await new Promise<SendFailure | "sent">(resolve => {
         connection.send(
