--- a/src/gateway/callerServer.ts
+++ b/src/gateway/callerServer.ts
@@ -8,7 +8,7 @@
 import type { ConnectionSharing } from "./connectionSharing.js";
 import type { GatewayService } from "./gatewayService.js";
 
-/** Maximum size of a request's headers; the limit of the configuration is not yet available when the server is created. */
+/** Maximum header size that Node accepts; the server is created before the limit of the configuration is available. */
 const maxHeaderBytes = 65_536;
 /** Interval at which Node checks connections for header and request time-outs; milliseconds. */
 const timeoutCheckMs = 1_000;
@@ -19,8 +19,8 @@
 /**
  * Share of the maximum number of connections above which each response closes its connection. Callers retry a refused request on
  * a new connection and leave the old one idle for seconds. A burst of refused requests then uses up all connections, and the next
- * ones, of any account, are reset before they are read. Closing a connection with its response costs one
- * handshake, and the connections between this share and the limit absorb those that arrive in the meantime.
+ * ones, of any account, are reset before they are read. Closing a connection with its response costs one handshake; the
+ * connections between this share and the limit absorb those that arrive in the meantime.
  */
 const closingConnectionShare = 0.6;
 const headerTooLargeStatus = "HTTP/1.1 431 Request Header Fields Too Large";
--- a/src/gateway/targetSelector.ts
+++ b/src/gateway/targetSelector.ts
@@ -44,7 +44,7 @@
 const noTargetRetryMs = 300;
 /** Maximum retry time if targets pause: other targets may start before the end of a longer pause. */
 const maxPauseRetryMs = 30_000;
-/** Requests per slot that a target of a plain service takes before further ones have to wait. */
+/** Requests per slot that a target of a plain service takes without an expected wait; beyond it requests wait or are better refused. */
 const plainRequestsPerSlot = 1;
 /** Share of a target's connections that routers use; the remainder covers closes in progress and uneven load of routers. */
 const maxConnectionShare = 0.8;
--- a/test/gateway/gatewayFixture.ts
+++ b/test/gateway/gatewayFixture.ts
@@ -38,7 +38,9 @@
     readonly agent?: Agent;
 }
 
+/** Host name of all routes of the test configuration. */
 export const host = "fleet.example";
+/** API key of the client account of the test configuration. */
 export const key = "key-of-north";
 const seed = 7;
 /** A constant load of 0, so that the load of the test machine does not affect the routers' decisions. */
