--- a/src/gateway/attempt.ts
+++ b/src/gateway/attempt.ts
@@ -120,7 +120,7 @@
         if (!isSuccess(this.head.status)) {
             this.errorBody.add(chunk);
             if (this.errorBody.length > maxErrorBodyBytes) {
-                this.fail(`error response body exceeds ${maxErrorBodyBytes} bytes`);
+                this.fail("error response body exceeds its maximum size");
             }
             return;
         }
--- a/src/gateway/eventStreamRelay.ts
+++ b/src/gateway/eventStreamRelay.ts
@@ -19,7 +19,7 @@
 export class EventStreamRelay implements AnswerRelay {
     private splitter = new EventSplitter();
     private head: TargetAnswerHead | undefined;
-    private relayedId: string | undefined;
+    private lastRelayedId: string | undefined;
     private relayedCount = 0;
 
     private readonly maxEvents: number;
@@ -33,7 +33,7 @@
         maxOutputTokens: number,
     ) {
         this.maxEvents = computeEventLimit(maxOutputTokens);
-        this.relayedId = resumeAfterId;
+        this.lastRelayedId = resumeAfterId;
     }
 
     public get isCommitted(): boolean {
@@ -42,7 +42,7 @@
 
     public get canResume(): boolean {
         // Without the id of the last relayed event a resumed stream would repeat or skip events.
-        return this.isResumable && (!this.isCommitted || this.relayedId !== undefined);
+        return this.isResumable && (!this.isCommitted || this.lastRelayedId !== undefined);
     }
 
     public get passedEvents(): number {
@@ -50,7 +50,7 @@
     }
 
     public get lastEventId(): string | undefined {
-        return this.relayedId;
+        return this.lastRelayedId;
     }
 
     public handleHead(head: TargetAnswerHead): boolean {
@@ -93,12 +93,12 @@
 
     /** Relays an event; false if the caller has already received it. */
     private writeEvent(event: StreamEvent): boolean {
-        if (event.id !== undefined && isAtOrBefore(event.id, this.relayedId)) {
+        if (event.id !== undefined && isAtOrBefore(event.id, this.lastRelayedId)) {
             return false;
         }
         this.writeHead();
         this.caller.write(event.bytes);
-        this.relayedId = event.id ?? this.relayedId;
+        this.lastRelayedId = event.id ?? this.lastRelayedId;
         this.relayedCount += 1;
         return true;
     }
--- a/src/gateway/requestFlow.ts
+++ b/src/gateway/requestFlow.ts
@@ -37,7 +37,7 @@
     private readonly tried = new Set<Target>();
     private versions: RequestVersions | undefined;
     /** Each attempt's target and the kind of its outcome, for the log. */
-    private readonly attemptHistory: string[] = [];
+    private readonly history: string[] = [];
     private readonly deadlineAtMs: number;
     private readonly isRepeatable: boolean;
     private readonly outcomes: FlowEndings;
@@ -74,7 +74,7 @@
             : new WholeAnswerRelay(caller, context.codec, head.lastEventId);
         this.outcomes = new FlowEndings(caller, context.codec, head.requestId, this.relay, () => ({
             attempts: this.tried.size,
-            tried: this.attemptHistory,
+            tried: this.history,
             ...describeSelection(this.selection),
             readingShare: findReadingShare(context, this.selection)?.current,
             recordRemovedForMs: this.recordRemovedForMs,
@@ -118,7 +118,7 @@
                 return selection;
             }
             const outcome = await this.runAttempt(selection);
-            this.attemptHistory.push(`${selection.target.id}:${outcome.kind}`);
+            this.history.push(`${selection.target.id}:${outcome.kind}`);
             await this.watch.observe(outcome, selection.target, this.relay.isCommitted);
             const end = this.handleOutcome(outcome);
             if (end !== undefined) {
--- a/src/gateway/targetConnection.ts
+++ b/src/gateway/targetConnection.ts
@@ -163,7 +163,8 @@
     }
 }
 
-interface ExchangeConnection {
+/** The connection of an {@link Exchange}. */
+interface ExchangeOwner {
     hasSocketError(): boolean;
     /** Whether the socket still has a remote address; called at most once, as Node caches the result. */
     hasRemoteAddress(): boolean;
@@ -187,7 +188,7 @@
 
     public constructor(
         private readonly listener: AnswerListener,
-        private readonly connection: ExchangeConnection,
+        private readonly owner: ExchangeOwner,
     ) {}
 
     public onRequestStart(controller: Dispatcher.DispatchController): void {
@@ -202,7 +203,7 @@
             return;
         }
         this.isSent = true;
-        this.bytesReadBefore = this.connection.countBytesRead();
+        this.bytesReadBefore = this.owner.countBytesRead();
         this.listener.handleSent();
     }
 
@@ -214,7 +215,7 @@
         if (status < minFinalStatus) {
             this.interimResponses += 1;
             if (this.interimResponses > maxInterimResponses) {
-                this.fail("broken", `more than ${maxInterimResponses} interim responses`);
+                this.fail("broken", "too many interim responses");
             }
         } else {
             this.isUnframed = headers["content-length"] === undefined && headers["transfer-encoding"] === undefined;
@@ -237,7 +238,7 @@
 
     /** Closes the connection if the bytes read from it exceed the body by more than the allowed overhead. */
     public checkOverhead(): void {
-        const overheadBytes = this.connection.countBytesRead() - this.bytesReadBefore - this.bodyBytes;
+        const overheadBytes = this.owner.countBytesRead() - this.bytesReadBefore - this.bodyBytes;
         if (!this.hasEnded && overheadBytes > maxOverheadBytes + this.bodyBytes * maxOverheadPerBodyByte) {
             this.fail("broken", "too many bytes outside the response body");
         }
@@ -249,12 +250,12 @@
         }
         // A reset directly after the last bytes is reported as a regular end: libuv reads the bytes, detects the hang-up and does
         // not query the error. A connection that was reset has no remote address any more; one that the peer closed still has it.
-        if (this.connection.hasSocketError() || (this.isUnframed && !this.connection.hasRemoteAddress())) {
+        if (this.owner.hasSocketError() || (this.isUnframed && !this.owner.hasRemoteAddress())) {
             this.fail("broken", "connection reset by the target");
             return;
         }
         this.hasEnded = true;
-        this.connection.release();
+        this.owner.release();
         this.listener.handleEnd();
     }
 
@@ -271,13 +272,13 @@
         }
         this.hasEnded = true;
         // Closes before it aborts, as undici's abort would otherwise destroy the socket with a new error.
-        this.connection.close();
+        this.owner.close();
         this.controller?.abort(closedError);
     }
 
     private fail(failure: SendFailure, detail: string): void {
         this.hasEnded = true;
-        this.connection.close();
+        this.owner.close();
         this.listener.handleFailure(failure, detail);
     }
 }
