--- a/src/gateway/quarantine/requestWatch.ts
+++ b/src/gateway/quarantine/requestGuard.ts
@@ -4,7 +4,7 @@
 import type { RequestIdentity } from "./requestIdentity.js";
 
 /** Asks the quarantine for one request, and reports to it how its attempts end. */
-export class RequestWatch {
+export class RequestGuard {
     private hasTurn = false;
 
     public constructor(
@@ -14,22 +14,22 @@
 
     /** Whether the request may run; {@link end} must follow. */
     public start(): "run" | "busy" | "held" {
-        const turn = this.quarantine.takeTurn(this.identity);
+        const turn = this.quarantine.takeRunPermit(this.identity);
         this.hasTurn = turn === "taken";
         return turn === "free" || turn === "taken" ? "run" : turn;
     }
 
     /** Whether the request may be sent to a further target. */
-    public get mayRepeat(): boolean {
+    public get canRetry(): boolean {
         return this.hasTurn ? !this.quarantine.isHeld(this.identity) : this.start() === "run";
     }
 
     /** Resolves once it is known what the outcome says of the request. */
     public async observe(outcome: AttemptOutcome, target: Target, hadOutput: boolean): Promise<void> {
         if (outcome.kind === "answered") {
-            this.quarantine.observeAnswer(this.identity);
+            this.quarantine.observeResponse(this.identity);
         } else if (outcome.kind === "broken") {
-            await this.quarantine.observeBreak(this.identity, target, hadOutput);
+            await this.quarantine.observeDisconnect(this.identity, target, hadOutput);
         }
     }
 
@@ -37,7 +37,7 @@
     public end(): void {
         if (this.hasTurn) {
             this.hasTurn = false;
-            this.quarantine.endTurn(this.identity);
+            this.quarantine.releaseRunPermit(this.identity);
         }
     }
 }
--- a/src/gateway/removedRecords.ts
+++ b/src/gateway/recordRemovalTracker.ts
@@ -1,14 +1,14 @@
 import type { Clock } from "../base/clock.js";
 import type { Disposable } from "../base/lifecycle.js";
 import type { Logger } from "../base/log.js";
-import type { LapsePolicy, RemovalVerdict } from "../decisions/health/lapsePolicy.js";
+import type { RecordExpiryPolicy, RemovalVerdict } from "../decisions/health/recordExpiryPolicy.js";
 import type { Target } from "./target.js";
 
-/** What {@link RemovedRecords} need. */
-export interface RemovedRecordsOptions {
+/** What {@link RecordRemovalTracker} need. */
+export interface RecordRemovalOptions {
     readonly clock: Clock;
     readonly logger: Logger;
-    readonly lapses: LapsePolicy;
+    readonly expiryPolicy: RecordExpiryPolicy;
 }
 
 /** That a target's record is gone although the target may live; monotonic times, milliseconds. */
@@ -19,18 +19,18 @@
 }
 
 /** Targets whose records are gone, and which may live all the same. */
-export class RemovedRecords implements Disposable {
+export class RecordRemovalTracker implements Disposable {
     private readonly timers = new Map<string, NodeJS.Timeout>();
 
     /** `onDidExpire`: the target is to be taken for gone. */
     public constructor(
-        private readonly options: RemovedRecordsOptions,
+        private readonly options: RecordRemovalOptions,
         private readonly onDidExpire: (id: string) => void,
     ) {}
 
     /** Takes that a target's record is gone; false: the target is, too. */
     public handleRemoval(target: Target): boolean {
-        const { clock, lapses } = this.options;
+        const { clock, expiryPolicy: lapses } = this.options;
         const nowMs = clock.nowMs();
         const verdict = lapses.checkRemoval(nowMs);
         const { keptUntilMs } = verdict;
--- a/src/gateway/requestAdmission.ts
+++ b/src/gateway/requestAdmission.ts
@@ -1,16 +1,16 @@
 import {
     checkPromptAdmission,
-    computeMostUse,
+    computeMaxUsage,
     computePromptBounds,
-    computePromptRetry,
+    computePromptRetryAfterMs,
     type PromptBounds,
 } from "../decisions/admission/promptAdmission.js";
-import { noUse, type ShareUse } from "../decisions/shares/accountShares.js";
-import { computeShareUse } from "./computeShareUse.js";
+import { zeroUsage, type ShareUsage } from "../decisions/shares/accountShares.js";
+import { computeShareUsage } from "./computeShareUsage.js";
 import type { GatewayContext } from "./gatewayContext.js";
 import type { GrantDemand } from "./grants/grantClient.js";
 import type { GrantReply } from "./grants/grantMessage.js";
-import type { OwnAnswerReason } from "./ownAnswer.js";
+import type { RouterResponseReason } from "./routerResponse.js";
 import type { RoutedRequest } from "./routedRequest.js";
 import type { Selection, TargetFilter, TargetSelector } from "./targetSelector.js";
 
@@ -21,9 +21,9 @@
 export type DecisionSource = "owner" | "beliefs" | "memory" | "none";
 
 /** Details of an admission decision, for the log. */
-export interface AdmissionFacts {
+export interface AdmissionDetails {
     /** Service that the account has received, relative to its share and to the surplus. */
-    readonly shareUse: ShareUse;
+    readonly shareUse: ShareUsage;
     /** Number of owners that were asked for a grant, and of those that did not reply. */
     readonly ownersAsked: number;
     readonly ownersSilent: number;
@@ -33,8 +33,8 @@
 }
 
 /** Details of a request for which no decision was made. */
-export const noAdmission: AdmissionFacts = {
-    shareUse: noUse,
+export const emptyAdmission: AdmissionDetails = {
+    shareUse: zeroUsage,
     ownersAsked: 0,
     ownersSilent: 0,
     decidedBy: "none",
@@ -42,9 +42,9 @@
 };
 
 /** The selection for a request's first attempt, or why the request is refused. */
-export type AdmittedSelection = { readonly facts: AdmissionFacts } & (
+export type AdmissionOutcome = { readonly details: AdmissionDetails } & (
     | { readonly selection: Selection }
-    | { readonly selection: undefined; readonly reason: OwnAnswerReason; readonly retryAfterMs: number }
+    | { readonly selection: undefined; readonly reason: RouterResponseReason; readonly retryAfterMs: number }
 );
 
 /** Share of the objective that a plain request may spend waiting at its target. */
@@ -62,8 +62,8 @@
     /** Tokens charged to the account's share for this request. */
     readonly chargedTokens: number;
     /** Excludes targets from the selection. */
-    readonly isLeftOut: TargetFilter;
-    readonly getTimeLeftMs: () => number;
+    readonly isExcluded: TargetFilter;
+    readonly getRemainingMs: () => number;
 }
 
 /** Decides whether a request is admitted and selects the target of its first attempt; asks the owners of model engines for grants. */
@@ -74,17 +74,17 @@
     private capacityWaitMs = Number.POSITIVE_INFINITY;
     /** Maximum share of an engine's limit that the asked owners allow the request to use; it depends on the account. */
     private mostUse = Number.POSITIVE_INFINITY;
-    private shareUse = noUse;
+    private shareUse = zeroUsage;
     private decidedBy: DecisionSource = "none";
 
     public constructor(private readonly options: RequestAdmissionOptions) {}
 
     /** Calls `handleOutcome` exactly once, either synchronously or after the owners' replies. */
-    public check(services: readonly string[], handleOutcome: (outcome: AdmittedSelection) => void): void {
+    public check(services: readonly string[], handleOutcome: (outcome: AdmissionOutcome) => void): void {
         this.shareUse = this.computeUsage();
-        const selection = this.select(services, computeMostUse(this.shareUse));
+        const selection = this.select(services, computeMaxUsage(this.shareUse));
         if (selection === undefined) {
-            const { reason, retryAfterMs } = this.options.selector.explainNone(services);
+            const { reason, retryAfterMs } = this.options.selector.explainNoTarget(services);
             handleOutcome(this.createRefusal(reason, retryAfterMs));
         } else if (selection.tokensAhead === 0) {
             handleOutcome(this.checkPlain(selection));
@@ -93,7 +93,7 @@
         }
     }
 
-    private checkPlain(selection: Selection): AdmittedSelection {
+    private checkPlain(selection: Selection): AdmissionOutcome {
         const isLate = selection.expectedMs > this.options.routed.route.objectiveMs * maxPlainWaitShare;
         return isLate ? this.createRefusal("late", selection.expectedMs) : this.createSelected(selection);
     }
@@ -105,7 +105,7 @@
     private checkPrompt(
         services: readonly string[],
         selection: Selection,
-        handleOutcome: (outcome: AdmittedSelection) => void,
+        handleOutcome: (outcome: AdmissionOutcome) => void,
     ): void {
         const { context, routed } = this.options;
         const { clock, grants } = context;
@@ -129,7 +129,7 @@
                 return;
             }
             target.applyGrantReply(outcome.reply, clock.nowMs());
-            this.mostUse = Math.min(this.mostUse, outcome.reply.mostUse);
+            this.mostUse = Math.min(this.mostUse, outcome.reply.maxUsage);
             this.capacityWaitMs = Math.min(this.capacityWaitMs, outcome.reply.retryAfterMs);
             if (outcome.kind === "granted") {
                 routed.figures.record("granted");
@@ -143,24 +143,24 @@
     }
 
     /** How long the target's owner, or recently asked owners of other targets, deny such requests; milliseconds, 0 if they don't. */
-    private computeDeniedMs({ target, service }: Selection, { mostUse, reason }: PromptBounds): number {
+    private computeDeniedMs({ target, service }: Selection, { maxUsage: mostUse, reason }: PromptBounds): number {
         const { context, routed } = this.options;
         const nowMs = context.clock.nowMs();
         const deniedMs = target.computeDeniedMs(mostUse, nowMs);
         if (reason !== "over-share" || routed.account === undefined || this.grantRequests > 0) {
             return deniedMs;
         }
-        const denials = context.denials.find(service.name);
+        const denials = context.denials.getOrCreate(service.name);
         return Math.max(deniedMs, denials.computeDeniedMs(routed.account, mostUse, nowMs));
     }
 
-    private recordDenial({ service }: Selection, { mostUse, reason }: PromptBounds): void {
+    private recordDenial({ service }: Selection, { maxUsage: mostUse, reason }: PromptBounds): void {
         const { context, routed } = this.options;
         if (reason === "over-share" && routed.account !== undefined && this.grantRequests > 0) {
-            const denials = context.denials.find(service.name);
+            const denials = context.denials.getOrCreate(service.name);
             const requester = {
                 utilization: context.load.loop.utilization,
-                accountPart: context.shares.computeOwnPart(routed.account),
+                accountFraction: context.shares.computeOwnFraction(routed.account),
                 routerCount: context.peers.routers.routerIds.length,
             };
             denials.record(routed.account, mostUse, this.capacityWaitMs, requester, context.clock.nowMs());
@@ -173,37 +173,37 @@
     }
 
     private select(services: readonly string[], mostUse: number): Selection | undefined {
-        const { routed, selector, isLeftOut } = this.options;
+        const { routed, selector, isExcluded: isLeftOut } = this.options;
         return selector.select(services, routed.head, routed.route.hasPrompts, isLeftOut, mostUse);
     }
 
     /** Decides by this router's own estimates of the target, as its owner did not reply. */
-    private checkByEstimates(selection: Selection): AdmittedSelection {
-        const { context, routed, getTimeLeftMs } = this.options;
+    private checkByEstimates(selection: Selection): AdmissionOutcome {
+        const { context, routed, getRemainingMs: getTimeLeftMs } = this.options;
         const admission = checkPromptAdmission({
             expectedMs: selection.expectedMs,
-            aloneMs: selection.aloneMs,
+            unloadedMs: selection.unloadedMs,
             objectiveMs: routed.route.objectiveMs,
             pauseObjectiveMs: routed.route.pauseObjectiveMs,
-            timeLeftMs: getTimeLeftMs(),
+            remainingMs: getTimeLeftMs(),
             shareUse: this.shareUse,
-            idleShare: context.idleShares.find(selection.service.name).current,
+            idleShare: context.idleShares.getOrCreate(selection.service.name).current,
         });
         return admission.admitted
             ? this.createSelected(selection)
             : this.createRefusal(admission.reason, admission.retryAfterMs);
     }
 
-    private computeBounds({ aloneMs }: Selection): PromptBounds {
-        const { routed, getTimeLeftMs } = this.options;
+    private computeBounds({ unloadedMs: aloneMs }: Selection): PromptBounds {
+        const { routed, getRemainingMs: getTimeLeftMs } = this.options;
         const bounds = computePromptBounds({
-            aloneMs,
+            unloadedMs: aloneMs,
             objectiveMs: routed.route.objectiveMs,
             pauseObjectiveMs: routed.route.pauseObjectiveMs,
-            timeLeftMs: getTimeLeftMs(),
+            remainingMs: getTimeLeftMs(),
             shareUse: this.shareUse,
         });
-        return { ...bounds, mostUse: Math.min(bounds.mostUse, this.mostUse) };
+        return { ...bounds, maxUsage: Math.min(bounds.maxUsage, this.mostUse) };
     }
 
     private createDemand({ target, fetch }: Selection, bounds: PromptBounds): GrantDemand {
@@ -216,39 +216,39 @@
             account: routed.account,
             chargedTokens,
             bounds,
-            spanMs: routed.route.pauseObjectiveMs,
+            windowMs: routed.route.pauseObjectiveMs,
         };
     }
 
     /** The selection with the owner's token counts in place of this router's estimates. */
-    private applyReply(selection: Selection, { newTokens, aheadTokens }: GrantReply): Selection {
-        const model = this.options.context.firstTokenModels.find(selection.service.name);
+    private applyReply(selection: Selection, { newTokens, queuedTokens: aheadTokens }: GrantReply): Selection {
+        const model = this.options.context.firstTokenModels.getOrCreate(selection.service.name);
         const fetchMs = selection.fetch?.ms ?? 0;
         return {
             ...selection,
             newTokens,
             tokensAhead: aheadTokens + newTokens,
             expectedMs: fetchMs + model.estimateMs(aheadTokens + newTokens),
-            aloneMs: fetchMs + model.estimateMs(newTokens),
+            unloadedMs: fetchMs + model.estimateMs(newTokens),
         };
     }
 
-    private createDenial(reason: PromptBounds["reason"], capacityWaitMs: number): AdmittedSelection {
+    private createDenial(reason: PromptBounds["reason"], capacityWaitMs: number): AdmissionOutcome {
         return this.createRefusal(
             reason,
-            computePromptRetry(reason, this.options.routed.route.objectiveMs, capacityWaitMs),
+            computePromptRetryAfterMs(reason, this.options.routed.route.objectiveMs, capacityWaitMs),
         );
     }
 
-    private createSelected(selection: Selection): AdmittedSelection {
-        return { selection, facts: this.createFacts() };
+    private createSelected(selection: Selection): AdmissionOutcome {
+        return { selection, details: this.createFacts() };
     }
 
-    private createRefusal(reason: OwnAnswerReason, retryAfterMs: number): AdmittedSelection {
-        return { selection: undefined, reason, retryAfterMs, facts: this.createFacts() };
+    private createRefusal(reason: RouterResponseReason, retryAfterMs: number): AdmissionOutcome {
+        return { selection: undefined, reason, retryAfterMs, details: this.createFacts() };
     }
 
-    private createFacts(): AdmissionFacts {
+    private createFacts(): AdmissionDetails {
         const { context, routed } = this.options;
         return {
             shareUse: this.shareUse,
@@ -259,8 +259,8 @@
         };
     }
 
-    private computeUsage(): ShareUse {
+    private computeUsage(): ShareUsage {
         const { context, routed } = this.options;
-        return routed.route.hasPrompts ? computeShareUse(context, routed.account) : noUse;
+        return routed.route.hasPrompts ? computeShareUsage(context, routed.account) : zeroUsage;
     }
 }
--- a/src/gateway/requestFlow.ts
+++ b/src/gateway/requestFlow.ts
@@ -1,23 +1,23 @@
 import { DisposableStore } from "../base/lifecycle.js";
 import { AccountCharge } from "./accountCharge.js";
-import { noAdmission, RequestAdmission, type AdmittedSelection } from "./requestAdmission.js";
-import { findReadingShare, observeWholeAnswer } from "./answerLearning.js";
-import { AnswerTiming } from "./answerTiming.js";
-import { Attempt, type AttemptOutcome, type StopReason, type UnrunReason } from "./attempt.js";
+import { emptyAdmission, RequestAdmission, type AdmissionOutcome } from "./requestAdmission.js";
+import { findPrefillShare, observeCompleteResponse } from "./completeResponse.js";
+import { ResponseTiming } from "./responseTiming.js";
+import { Attempt, type AttemptOutcome, type StopReason, type NotExecutedReason } from "./attempt.js";
 import type { CallerExchange } from "./callerExchange.js";
 import { EventStreamRelay } from "./eventStreamRelay.js";
-import { describeSelection, FlowEndings, type FlowEnd } from "./flowEndings.js";
+import { describeSelection, FlowOutcomes, type FlowOutcome } from "./flowOutcomes.js";
 import type { GatewayContext } from "./gatewayContext.js";
-import type { AnswerRelay, StoredAnswer } from "./relay.js";
+import type { ResponseRelay, StoredResponse } from "./responseRelay.js";
 import { RequestRetries } from "./requestRetries.js";
-import type { RequestWatch } from "./quarantine/requestWatch.js";
+import type { RequestGuard } from "./quarantine/requestGuard.js";
 import type { RequestVersions } from "./rollouts/requestVersions.js";
 import type { RoutedRequest } from "./routedRequest.js";
-import { computeSilenceLimit, SilenceTimer } from "./silenceTimer.js";
+import { computeInactivityLimit, InactivityTimer } from "./inactivityTimer.js";
 import type { Target } from "./target.js";
 import { openTargetSend, type TargetSend } from "./targetSend.js";
 import { TargetSelector, type Selection } from "./targetSelector.js";
-import { WholeAnswerRelay } from "./wholeAnswerRelay.js";
+import { BufferedResponseRelay } from "./bufferedResponseRelay.js";
 
 /**
  * Maximum idle time of a connection for a request that must not be executed twice. The target may have closed a connection that was
@@ -26,69 +26,69 @@
 const maxIdleIfNotRepeatableMs = 250;
 const maxIdleIfRepeatableMs = 60_000;
 /** Bounds for an attempt that is only reported to the owner, which records it without a check. */
-const uncheckedBounds = { mostWaitMs: 0, mostUse: 1 };
+const uncheckedBounds = { maxWaitMs: 0, maxUsage: 1 };
 const maxNotExecutedAttempts = 4;
 
 /** Processes one request: selects targets, runs the attempts and relays the response. */
 export class RequestFlow {
     private readonly store = new DisposableStore();
     private readonly selector: TargetSelector;
-    private readonly relay: AnswerRelay;
+    private readonly relay: ResponseRelay;
     private readonly tried = new Set<Target>();
     private versions: RequestVersions | undefined;
     /** Each attempt's target and the kind of its outcome, for the log. */
     private readonly history: string[] = [];
     private readonly deadlineAtMs: number;
     private readonly isRepeatable: boolean;
-    private readonly outcomes: FlowEndings;
+    private readonly outcomes: FlowOutcomes;
     private current: Attempt | undefined;
-    private readonly inactivityTimer = this.store.add(new SilenceTimer(() => this.current?.stop("silent")));
+    private readonly inactivityTimer = this.store.add(new InactivityTimer(() => this.current?.stop("silent")));
     private stopReason: StopReason | undefined;
     private sent = 0;
     private notExecuted = 0;
     /** Whether an attempt may have been executed; until then the caller can be told that the request was not executed. */
     private mayHaveRun = false;
     /** Error response of the last target, kept while the request is retried. */
-    private lastErrorResponse: StoredAnswer | undefined;
+    private lastErrorResponse: StoredResponse | undefined;
     private selection: Selection | undefined;
     private recordRemovedForMs: number | undefined;
-    private readonly timing: AnswerTiming;
+    private readonly timing: ResponseTiming;
     private readonly charge: AccountCharge;
     private readonly retries: RequestRetries;
-    private admission = noAdmission;
+    private admission = emptyAdmission;
 
     public constructor(
         private readonly context: GatewayContext,
         private readonly caller: CallerExchange,
         private readonly routed: RoutedRequest,
-        private readonly watch: RequestWatch,
+        private readonly watch: RequestGuard,
     ) {
         const { route, head, arrivedAtMs } = routed;
         this.selector = new TargetSelector(context);
-        this.timing = new AnswerTiming(route, arrivedAtMs);
+        this.timing = new ResponseTiming(route, arrivedAtMs);
         this.charge = new AccountCharge(context, routed);
         this.retries = new RequestRetries(context, routed.account);
         const isStream = route.kind === "stream";
         this.relay = isStream
             ? new EventStreamRelay(caller, context.codec, route.isResumable, head.lastEventId, head.maxOutputTokens)
-            : new WholeAnswerRelay(caller, context.codec, head.lastEventId);
-        this.outcomes = new FlowEndings(caller, context.codec, head.requestId, this.relay, () => ({
+            : new BufferedResponseRelay(caller, context.codec, head.lastEventId);
+        this.outcomes = new FlowOutcomes(caller, context.codec, head.requestId, this.relay, () => ({
             attempts: this.tried.size,
             tried: this.history,
             ...describeSelection(this.selection),
-            readingShare: findReadingShare(context, this.selection)?.current,
+            readingShare: findPrefillShare(context, this.selection)?.current,
             recordRemovedForMs: this.recordRemovedForMs,
-            ...this.timing.facts,
+            ...this.timing.details,
             ...this.admission,
             askedTokens: this.charge.askedTokens,
             servedTokens: this.charge.servedTokens,
         }));
         this.isRepeatable = route.kind === "idempotent" || (isStream && route.isResumable);
-        this.deadlineAtMs = arrivedAtMs + Math.min(route.timeoutMs, head.timeLeftMs ?? route.timeoutMs);
+        this.deadlineAtMs = arrivedAtMs + Math.min(route.timeoutMs, head.remainingMs ?? route.timeoutMs);
     }
 
     /** Processes the request. When the promise resolves, the final response has been sent or the caller has disconnected. */
-    public async run(): Promise<FlowEnd> {
+    public async run(): Promise<FlowOutcome> {
         const { clock } = this.context;
         const timer = setTimeout(() => this.stop("deadline"), Math.max(0, this.deadlineAtMs - clock.nowMs()));
         this.store.add({ dispose: () => clearTimeout(timer) });
@@ -105,7 +105,7 @@
         }
     }
 
-    private async runAttempts(): Promise<FlowEnd> {
+    private async runAttempts(): Promise<FlowOutcome> {
         const services = this.selector.orderServices(this.routed.route);
         this.versions = this.context.rollouts.open(services[0], this.routed.route.name);
         this.recordFirstAttempt(services[0]);
@@ -144,7 +144,7 @@
             account: this.routed.account,
             chargedTokens: 0,
             bounds: uncheckedBounds,
-            spanMs: route.pauseObjectiveMs,
+            windowMs: route.pauseObjectiveMs,
         });
         return (this.selection = { ...selection, grant });
     }
@@ -158,11 +158,11 @@
         if (service !== undefined) {
             this.retries.recordFirst(service);
         }
-        this.charge.recordAsked();
+        this.charge.recordRequested();
     }
 
     /** Selects the target of the first attempt, or refuses the request. */
-    private async selectFirst(services: readonly string[]): Promise<Selection | FlowEnd> {
+    private async selectFirst(services: readonly string[]): Promise<Selection | FlowOutcome> {
         const { context, routed, selector } = this;
         const admission = new RequestAdmission({
             context,
@@ -170,15 +170,15 @@
             selector,
             outputTokens: this.charge.outputTokens,
             chargedTokens: this.charge.askedTokens,
-            isLeftOut: target => this.isExcluded(target),
-            getTimeLeftMs: () => this.deadlineAtMs - context.clock.nowMs(),
+            isExcluded: target => this.isExcluded(target),
+            getRemainingMs: () => this.deadlineAtMs - context.clock.nowMs(),
         });
-        const admitted = await new Promise<AdmittedSelection>(resolve => admission.check(services, resolve));
+        const admitted = await new Promise<AdmissionOutcome>(resolve => admission.check(services, resolve));
         if (admitted.selection === undefined && this.versions?.hasFallback === true) {
             this.versions.chooseBaseline();
             return this.selectFirst(services);
         }
-        this.admission = admitted.facts;
+        this.admission = admitted.details;
         if (admitted.selection === undefined) {
             return this.outcomes.refuse(admitted.reason, admitted.retryAfterMs);
         }
@@ -201,7 +201,7 @@
         }
         const { method, url } = this.caller.request;
         const headers = context.codec.encodeForTarget(this.caller.request.rawHeaders, {
-            timeLeftMs: this.deadlineAtMs - nowMs,
+            remainingMs: this.deadlineAtMs - nowMs,
             targetId: target.id,
             clientAccount: routed.account,
             lastEventId: this.relay.lastEventId,
@@ -222,7 +222,7 @@
         const attempt = new Attempt(routed.head.requestId, context.codec, context.clock, this.relay, {
             canStart: () => !context.directory.isClosed(target),
             handleSent: () => this.handleSent(target),
-            handleHead: head => context.directory.observeAnswer(target, availability, head),
+            handleHead: head => context.directory.observeResponse(target, availability, head),
             handleOutput: isFirst => this.handleOutput(send, isFirst),
         });
         this.current = attempt;
@@ -257,11 +257,11 @@
     }
 
     /** The final outcome of the request; undefined to start another attempt. */
-    private handleOutcome(outcome: AttemptOutcome): FlowEnd | undefined {
+    private handleOutcome(outcome: AttemptOutcome): FlowOutcome | undefined {
         switch (outcome.kind) {
             case "answered":
                 this.observeAnswer();
-                return this.outcomes.createEnd("answered", "", 200);
+                return this.outcomes.createOutcome("answered", "", 200);
             case "not-run":
                 this.notExecuted += 1;
                 this.sent += outcome.reason === "refused" ? 1 : 0;
@@ -275,7 +275,7 @@
                 this.sent += 1;
                 this.mayHaveRun = true;
                 this.lastErrorResponse = undefined;
-                return this.canRepeat() ? undefined : this.outcomes.endBroken(outcome.detail);
+                return this.canRepeat() ? undefined : this.outcomes.endDisconnected(outcome.detail);
             case "stopped":
                 return this.handleStopped(outcome.reason);
         }
@@ -284,12 +284,12 @@
     private observeAnswer(): void {
         const { selection, charge, timing, relay } = this;
         const { route } = this.routed;
-        observeWholeAnswer(this.context, { selection, route, charge, timing, passedEvents: relay.passedEvents });
+        observeCompleteResponse(this.context, { selection, route, charge, timing, relayedEvents: relay.relayedEvents });
     }
 
-    private handleStopped(reason: StopReason): FlowEnd | undefined {
+    private handleStopped(reason: StopReason): FlowOutcome | undefined {
         if (reason === "left") {
-            return this.outcomes.createEnd("left", "the caller disconnected", undefined);
+            return this.outcomes.createOutcome("left", "the caller disconnected", undefined);
         }
         if (reason === "silent") {
             this.sent += 1;
@@ -297,13 +297,13 @@
             this.lastErrorResponse = undefined;
             return this.canRepeat()
                 ? undefined
-                : this.outcomes.endBroken("the target sent no output within the inactivity limit");
+                : this.outcomes.endDisconnected("the target sent no output within the inactivity limit");
         }
-        return this.outcomes.endLate();
+        return this.outcomes.endTimedOut();
     }
 
     /** Whether a request that was not executed may go to another target; one that a target refused is charged to the retry budget. */
-    private canRetryNotExecuted(reason: UnrunReason): boolean {
+    private canRetryNotExecuted(reason: NotExecutedReason): boolean {
         if (this.notExecuted >= maxNotExecutedAttempts || this.isOutOfTime()) {
             return false;
         }
@@ -320,18 +320,18 @@
     }
 
     private takeRetry(): boolean {
-        return this.watch.mayRepeat && this.retries.take(this.selection?.service.name ?? "");
+        return this.watch.canRetry && this.retries.take(this.selection?.service.name ?? "");
     }
 
     /** Ends a request for which no target remains, with the last error response or according to whether it may have been executed. */
-    private endWithoutTarget(): FlowEnd {
+    private endWithoutTarget(): FlowOutcome {
         if (this.lastErrorResponse !== undefined) {
             return this.outcomes.sendFailure(this.lastErrorResponse);
         }
         if (this.relay.isCommitted || this.mayHaveRun) {
-            return this.outcomes.endBroken("no other target is available");
+            return this.outcomes.endDisconnected("no other target is available");
         }
-        const { reason, retryAfterMs } = this.selector.explainNone(this.selector.orderServices(this.routed.route));
+        const { reason, retryAfterMs } = this.selector.explainNoTarget(this.selector.orderServices(this.routed.route));
         return this.outcomes.refuse(reason, retryAfterMs);
     }
 
@@ -343,7 +343,7 @@
     /** Restarts the inactivity timer; called for output only, as a faulty target may send bytes that never complete an event. */
     private startInactivityTimer(): void {
         if (this.isRepeatable) {
-            this.inactivityTimer.start(computeSilenceLimit(this.routed.route, this.relay.isCommitted));
+            this.inactivityTimer.start(computeInactivityLimit(this.routed.route, this.relay.isCommitted));
         }
     }
 }
--- a/src/gateway/requestLog.ts
+++ b/src/gateway/requestLog.ts
@@ -2,7 +2,7 @@
 import type { Disposable } from "../base/lifecycle.js";
 import type { LogFields, Logger } from "../base/log.js";
 import { SlidingCount } from "../decisions/structures/slidingCount.js";
-import type { OwnAnswerReason } from "./ownAnswer.js";
+import type { RouterResponseReason } from "./routerResponse.js";
 import type { EndedRequest } from "./gatewayService.js";
 
 const windowMs = 1_000;
@@ -14,7 +14,7 @@
 const maxOtherLines = 200;
 /** Maximum log lines per second for shed requests: a router that sheds is overloaded, and each line adds to its load. */
 const maxShedLines = 10;
-const shedReason: OwnAnswerReason = "busy";
+const shedReason: RouterResponseReason = "busy";
 
 /** Writes one log line for each request that ended, up to a maximum rate; counts the skipped lines and logs their number. */
 export class RequestLog implements Disposable {
--- a/src/gateway/requestRetries.ts
+++ b/src/gateway/requestRetries.ts
@@ -18,13 +18,13 @@
     /** Counts the first attempt for the service's budget. */
     public recordFirst(service: string): void {
         const { retryBudgets, clock } = this.context;
-        retryBudgets.find(service).recordFirstTry(this.account ?? sharedBudgetKey, clock.nowMs());
+        retryBudgets.getOrCreate(service).recordFirstAttempt(this.account ?? sharedBudgetKey, clock.nowMs());
     }
 
     /** Takes a retry from the service's budget; false if the budget is exhausted. */
     public take(service: string): boolean {
         const { retryBudgets, settings, clock } = this.context;
         const ratio = settings.retryBudget.ratio * retryRatioShare;
-        return retryBudgets.find(service).takeRetry(this.account ?? sharedBudgetKey, ratio, clock.nowMs());
+        return retryBudgets.getOrCreate(service).takeRetry(this.account ?? sharedBudgetKey, ratio, clock.nowMs());
     }
 }
--- a/src/gateway/requestShedder.ts
+++ b/src/gateway/requestShedder.ts
@@ -1,6 +1,6 @@
 import { FairShedding } from "../decisions/admission/fairShedding.js";
 import { AccountCharge } from "./accountCharge.js";
-import { computeShareUse } from "./computeShareUse.js";
+import { computeShareUsage } from "./computeShareUsage.js";
 import type { GatewayContext } from "./gatewayContext.js";
 import type { RoutedRequest } from "./routedRequest.js";
 
@@ -16,12 +16,12 @@
         const isShed = this.shedding.check(load.shedShare, this.computeSurplus(routed), random);
         if (isShed && routed !== undefined) {
             // Without its shed requests in the totals, the account would appear to request little.
-            new AccountCharge(this.context, routed).recordAsked();
+            new AccountCharge(this.context, routed).recordRequested();
         }
         return isShed;
     }
 
     private computeSurplus(routed: RoutedRequest | undefined): number {
-        return routed?.route.hasPrompts === true ? computeShareUse(this.context, routed.account).surplus : 0;
+        return routed?.route.hasPrompts === true ? computeShareUsage(this.context, routed.account).surplus : 0;
     }
 }
--- a/src/gateway/answerTiming.ts
+++ b/src/gateway/responseTiming.ts
@@ -1,10 +1,10 @@
-import type { ServedRoute } from "./configuration.js";
+import type { RouteConfiguration } from "./configuration.js";
 
 /** Whether a response met the objectives of its route, and which one it missed. */
 export type Timeliness = "in-time" | "late-first-output" | "late-pause";
 
 /** Times of one response and the objectives of its route. */
-export interface TimingFacts {
+export interface TimingDetails {
     readonly objectiveMs: number;
     readonly pauseObjectiveMs: number;
     /** Time from the request's arrival to the first output; milliseconds, undefined before the first output. */
@@ -16,13 +16,13 @@
 }
 
 /** Measures one response as its caller receives it: the time to the first output, and the longest pause between two outputs. */
-export class AnswerTiming {
+export class ResponseTiming {
     private firstAtMs: number | undefined;
     private lastAtMs = 0;
     private longestMs = 0;
 
     public constructor(
-        private readonly route: Pick<ServedRoute, "kind" | "objectiveMs" | "pauseObjectiveMs">,
+        private readonly route: Pick<RouteConfiguration, "kind" | "objectiveMs" | "pauseObjectiveMs">,
         private readonly arrivedAtMs: number,
     ) {}
 
@@ -59,7 +59,7 @@
     }
 
     /** All measurements, for the log. */
-    public get facts(): TimingFacts {
+    public get details(): TimingDetails {
         const { objectiveMs, pauseObjectiveMs } = this.route;
         const { firstOutputMs, longestPauseMs, timeliness } = this;
         return { objectiveMs, pauseObjectiveMs, firstOutputMs, longestPauseMs, timeliness };
--- a/src/gateway/rollouts/rolloutDecider.ts
+++ b/src/gateway/rollouts/rolloutDecider.ts
@@ -2,7 +2,7 @@
 import type { Clock } from "../../base/clock.js";
 import { orderByRendezvous } from "../../base/hash.js";
 import type { Logger } from "../../base/log.js";
-import { RolloutJudge, type RolloutVerdict } from "../../decisions/rollouts/rolloutJudge.js";
+import { RolloutEvaluator, type RolloutVerdict } from "../../decisions/rollouts/rolloutEvaluator.js";
 import { chooseNextStep, type RolloutDecision } from "../../decisions/rollouts/rolloutPlan.js";
 import type { RouteEvidence, VersionCounts } from "../../decisions/rollouts/versionEvidence.js";
 import type { Target } from "../target.js";
@@ -39,7 +39,7 @@
  * that lands late, can't take a roll-out back. Which routers do it follows from who is there, without a lease.
  */
 export class RolloutDecider {
-    private readonly judge = new RolloutJudge();
+    private readonly judge = new RolloutEvaluator();
     private readonly reports = new Map<string, { readonly message: RolloutMessage; readonly atMs: number }>();
     private rank = Number.POSITIVE_INFINITY;
     private dueSinceMs: number | undefined;
--- a/src/gateway/rollouts/rolloutMetrics.ts
+++ b/src/gateway/rollouts/rolloutMetrics.ts
@@ -1,5 +1,5 @@
 import { Gauge, type Registry } from "prom-client";
-import { noCounts, type VersionCounts } from "../../decisions/rollouts/versionEvidence.js";
+import { zeroCounts, type VersionCounts } from "../../decisions/rollouts/versionEvidence.js";
 import type { RolloutView } from "./rollouts.js";
 
 const labels = ["service", "version"] as const;
@@ -49,6 +49,6 @@
             timed: sum.timed + counts.timed,
             slow: sum.slow + counts.slow,
         }),
-        noCounts,
+        zeroCounts,
     );
 }
--- a/src/gateway/rollouts/rolloutRecords.ts
+++ b/src/gateway/rollouts/rolloutRecords.ts
@@ -1,7 +1,7 @@
 import type { ResultAsync } from "neverthrow";
 import type { CancellationToken } from "../../base/cancellation.js";
 import type { LynxarchError } from "../../base/errors.js";
-import type { RolloutEnd, RolloutStep } from "../../decisions/rollouts/rolloutPlan.js";
+import type { RolloutOutcome, RolloutStep } from "../../decisions/rollouts/rolloutPlan.js";
 
 /** The operators' order to move a service to targets of another version. */
 export interface RolloutOrder {
@@ -15,7 +15,7 @@
 export interface RolloutStatus {
     readonly service: string;
     readonly version: string;
-    readonly state: "running" | RolloutEnd;
+    readonly state: "running" | RolloutOutcome;
     /** The step of a roll-out that runs. */
     readonly step: RolloutStep;
     /** When a router first saw the order, by its wall clock. */
--- a/src/gateway/rollouts/rollouts.ts
+++ b/src/gateway/rollouts/rollouts.ts
@@ -5,13 +5,13 @@
 import type { Random } from "../../base/random.js";
 import type { SetTimer } from "../../base/timers.js";
 import type { ExposureLimit } from "../../decisions/rollouts/exposureBudget.js";
-import type { RolloutVerdict } from "../../decisions/rollouts/rolloutJudge.js";
+import type { RolloutVerdict } from "../../decisions/rollouts/rolloutEvaluator.js";
 import type { RouteEvidence, VersionSample } from "../../decisions/rollouts/versionEvidence.js";
 import type { PeerView } from "../peers/peerView.js";
 import type { Target } from "../target.js";
 import type { TargetDirectory } from "../targetDirectory.js";
 import type { AttemptOutcome } from "../attempt.js";
-import { Registry } from "../registry.js";
+import { LazyMap } from "../lazyMap.js";
 import { AnswerPace, type AnswerTimes } from "./answerPace.js";
 import { RequestVersions, type VersionSource } from "./requestVersions.js";
 import { RolloutDecider } from "./rolloutDecider.js";
@@ -73,7 +73,7 @@
     private readonly store = new DisposableStore();
     private readonly lifetime = this.store.add(new CancellationTokenSource());
     private readonly byService = new Map<string, ServiceRollout>();
-    private readonly paces = new Registry(() => new AnswerPace());
+    private readonly paces = new LazyMap(() => new AnswerPace());
     private readonly deciders = new Map<string, RolloutDecider>();
     private readonly incarnation: number;
     private timer: Disposable | undefined;
@@ -114,8 +114,8 @@
         const { target, route, times, sentAtMs } = send;
         const rollout = this.byService.get(target.entry.service);
         const isCandidate = rollout?.isCandidate(target) === true && !rollout.hasEnded;
-        const pace = this.paces.find(`${target.entry.service} ${route}`);
-        const isWarm = sentAtMs >= Math.max(target.coldUntilMs, target.joinedAtMs + warmUpMs);
+        const pace = this.paces.getOrCreate(`${target.entry.service} ${route}`);
+        const isWarm = sentAtMs >= Math.max(target.coldUntilMs, target.incarnationSeenAtMs + warmUpMs);
         const isSlow = isWarm && result !== "broken" ? pace.isSlow(times) : undefined;
         if (!isCandidate && result === "ok") {
             pace.observe(times);
--- a/src/gateway/rollouts/serviceRollout.ts
+++ b/src/gateway/rollouts/serviceRollout.ts
@@ -194,13 +194,13 @@
             return;
         }
         for (const route of this.pendingBreaks.takeSurvived(send.target, send.sentAtMs)) {
-            this.counter.recordBreakFailures(route, 1);
+            this.counter.recordDisconnectFailures(route, 1);
         }
     }
 
     /** Routes with few candidate requests first, so that each is seen. */
     private takeSample(route: string): boolean {
-        if (!this.budget.hasRoom) {
+        if (!this.budget.hasCapacity) {
             return false;
         }
         const { routes } = this.counter.evidence;
--- a/src/gateway/ownAnswer.ts
+++ b/src/gateway/routerResponse.ts
@@ -1,5 +1,5 @@
 /** Why this router responds itself, without relaying a target's response. */
-export type OwnAnswerReason =
+export type RouterResponseReason =
     | "no-configuration"
     | "no-route"
     | "unknown-key"
@@ -17,7 +17,7 @@
     | "timeout";
 
 /** Status and title for each reason. Status 503 or 429 (the first group) means that the request was not executed. */
-const statusesAndTitles: Readonly<Record<OwnAnswerReason, readonly [status: number, title: string]>> = {
+const statusesAndTitles: Readonly<Record<RouterResponseReason, readonly [status: number, title: string]>> = {
     "no-configuration": [503, "The router has no configuration yet"],
     "no-target": [503, "No target serves this now"],
     "targets-pausing": [503, "All targets that could serve this want no requests for a time"],
@@ -39,17 +39,17 @@
 
 const bodies = Object.fromEntries(
     Object.entries(statusesAndTitles).map(([code, [status, title]]) => [code, JSON.stringify({ title, status, code })]),
-) as Readonly<Record<OwnAnswerReason, string>>;
+) as Readonly<Record<RouterResponseReason, string>>;
 
 /** A response of the router itself: a problem document (RFC 9457). */
-export interface OwnAnswer {
+export interface RouterResponse {
     readonly status: number;
     readonly headers: Readonly<Record<string, string>>;
     readonly body: string;
 }
 
 /** Creates the response for a reason. `retryAfterMs`: sent as Retry-After, only with 503 and 429 (request not executed). */
-export function createOwnAnswer(reason: OwnAnswerReason, retryAfterMs: number | undefined): OwnAnswer {
+export function createRouterResponse(reason: RouterResponseReason, retryAfterMs: number | undefined): RouterResponse {
     const [status] = statusesAndTitles[reason];
     const headers: Record<string, string> = { "content-type": "application/problem+json" };
     if (retryAfterMs !== undefined && (status === 503 || status === 429)) {
--- a/src/gateway/target.ts
+++ b/src/gateway/target.ts
@@ -5,13 +5,13 @@
 import type { TargetAvailability } from "../decisions/health/targetAvailability.js";
 import type { AvailabilityRegistry, TargetIncarnation } from "../decisions/health/availabilityRegistry.js";
 import { ColdLimiter } from "../decisions/limits/coldLimit.js";
-import { HeldParts } from "../decisions/placement/heldParts.js";
+import { CachedParts } from "../decisions/placement/cachedParts.js";
 import type { PromptCandidate } from "../decisions/placement/promptPlacement.js";
-import type { ServedService } from "./configuration.js";
+import type { ServiceConfiguration } from "./configuration.js";
 import type { TargetEntry } from "./fleetSource.js";
 import type { GrantReply } from "./grants/grantMessage.js";
 import type { ConnectionLimits } from "./targetConnection.js";
-import type { RecordRemoval } from "./removedRecords.js";
+import type { RecordRemoval } from "./recordRemovalTracker.js";
 import { TargetConnections } from "./targetConnections.js";
 
 /** Load of other routers' requests at a target. */
@@ -49,7 +49,7 @@
     public readonly circuit: CircuitBreaker;
     public readonly cold = new ColdLimiter();
     private cacheTokens = 0;
-    private heldParts = new HeldParts(0);
+    private heldParts = new CachedParts(0);
     private unreportedTokens = 0;
     /** Prompt tokens of this router's requests that wait for their first event. */
     public ownWaitingTokens = 0;
@@ -65,13 +65,13 @@
     /** Removal of the target's record; undefined while the record is present. */
     public removal: RecordRemoval | undefined;
     /** Monotonic time at which this router first read the record of the current incarnation; milliseconds. */
-    public joinedAtMs = Number.NEGATIVE_INFINITY;
+    public incarnationSeenAtMs = Number.NEGATIVE_INFINITY;
     private currentEntry: TargetEntry;
     private currentAvailability: TargetAvailability;
 
     public constructor(
         entry: TargetEntry,
-        service: ServedService | undefined,
+        service: ServiceConfiguration | undefined,
         random: Random,
         limits: ConnectionLimits,
         private readonly availabilities: AvailabilityRegistry,
@@ -128,7 +128,7 @@
      * Updates the owner's report: the tokens queued at that time have been prefilled at the given speed since. While the owner denies
      * such requests, the time until the target has capacity counts as a queue.
      */
-    public updateWaiting(tokensPerMs: number, mostUse: number, nowMs: number): void {
+    public updateWaitingTokens(tokensPerMs: number, mostUse: number, nowMs: number): void {
         const { ownerReport } = this;
         const waitingTokens =
             ownerReport === undefined ? 0 : ownerReport.aheadTokens - (nowMs - ownerReport.atMs) * tokensPerMs;
@@ -143,9 +143,9 @@
 
     /** Applies a reply of the target's owner. */
     public applyGrantReply(reply: GrantReply, nowMs: number): void {
-        const { mostUse } = reply;
+        const { maxUsage: mostUse } = reply;
         const granted = reply.granted ? reply.newTokens : 0;
-        this.ownerReport = { aheadTokens: reply.aheadTokens + granted, atMs: nowMs };
+        this.ownerReport = { aheadTokens: reply.queuedTokens + granted, atMs: nowMs };
         const replacesDenial = mostUse >= (this.denial?.mostUse ?? 0) || nowMs >= (this.denial?.untilMs ?? 0);
         if (!reply.granted && replacesDenial) {
             this.denial = { mostUse, untilMs: nowMs + reply.retryAfterMs };
@@ -163,11 +163,11 @@
     }
 
     /** Applies the size of the engine's cache; the estimate of cached parts is kept if the size is unchanged. */
-    public applyService(service: ServedService | undefined): void {
+    public applyService(service: ServiceConfiguration | undefined): void {
         const cacheTokens = service?.engine?.cacheTokens ?? 0;
         if (cacheTokens !== this.cacheTokens) {
             this.cacheTokens = cacheTokens;
-            this.heldParts = new HeldParts(cacheTokens);
+            this.heldParts = new CachedParts(cacheTokens);
         }
     }
 
@@ -181,24 +181,24 @@
     }
 
     /** Records tokens that a request of this router writes to the engine's cache. */
-    public recordOwnWritten(tokens: number): void {
+    public recordOwnWrittenTokens(tokens: number): void {
         this.unreportedTokens += tokens;
         this.heldParts.recordWritten(tokens);
     }
 
     /** Records tokens that requests of other routers write to the engine's cache. */
-    public recordPeerWritten(tokens: number): void {
+    public recordPeerWrittenTokens(tokens: number): void {
         this.heldParts.recordWritten(tokens);
     }
 
     /** Returns the tokens written by this router's requests since the last call. */
-    public takeWritten(): number {
+    public takeWrittenTokens(): number {
         const tokens = this.unreportedTokens;
         this.unreportedTokens = 0;
         return tokens;
     }
 
-    public get hasUnreported(): boolean {
+    public get hasUnreportedTokens(): boolean {
         return this.unreportedTokens > 0;
     }
 
--- a/src/gateway/targetConnection.ts
+++ b/src/gateway/targetConnection.ts
@@ -45,7 +45,7 @@
     | "cancelled";
 
 /** Receives a target's response; no further calls after `handleEnd` or `handleFailure`. */
-export interface AnswerListener {
+export interface ResponseListener {
     /** Called once the connection is established; returns false if the request must not be written any more. */
     canStart(): boolean;
     /** The request is being written; from now on the target may execute it. */
@@ -115,7 +115,7 @@
     }
 
     /** Sends a request; the connection must be usable. */
-    public send(request: TargetRequest, listener: AnswerListener): CancelSend {
+    public send(request: TargetRequest, listener: ResponseListener): CancelSend {
         const exchange = new Exchange(listener, {
             hasSocketError: () => this.hasSocketError,
             hasRemoteAddress: () => this.socket?.remotePort !== undefined,
@@ -187,7 +187,7 @@
     private chunks = 0;
 
     public constructor(
-        private readonly listener: AnswerListener,
+        private readonly listener: ResponseListener,
         private readonly owner: ExchangeOwner,
     ) {}
 
--- a/src/gateway/targetDirectory.ts
+++ b/src/gateway/targetDirectory.ts
@@ -5,15 +5,15 @@
 import type { Logger } from "../base/log.js";
 import type { Random } from "../base/random.js";
 import { AvailabilityRegistry } from "../decisions/health/availabilityRegistry.js";
-import type { LapsePolicy } from "../decisions/health/lapsePolicy.js";
+import type { RecordExpiryPolicy } from "../decisions/health/recordExpiryPolicy.js";
 import type { LeavingSource, TargetAvailability } from "../decisions/health/targetAvailability.js";
-import type { ServedConfiguration, ServedService } from "./configuration.js";
+import type { GatewayConfiguration, ServiceConfiguration } from "./configuration.js";
 import type { FleetChange, TargetEntry } from "./fleetSource.js";
 import type { LeavingTarget } from "./peers/peerMessage.js";
-import { RemovedRecords } from "./removedRecords.js";
+import { RecordRemovalTracker } from "./recordRemovalTracker.js";
 import { Target } from "./target.js";
 import type { ConnectionLimits } from "./targetConnection.js";
-import type { AnswerHead, TargetSignals } from "./wire.js";
+import type { ResponseHead, TargetSignals } from "./wire.js";
 
 const pauseSpread = 0.1;
 const mostPauseSpreadMs = 250;
@@ -30,7 +30,7 @@
     readonly random: Random;
     readonly logger: Logger;
     readonly connectionLimits: ConnectionLimits;
-    readonly lapses: LapsePolicy;
+    readonly expiryPolicy: RecordExpiryPolicy;
 }
 
 /** The targets that this router knows, and which of them may get requests. */
@@ -38,19 +38,19 @@
     private readonly targets = new Map<string, Target>();
     private readonly byService = new Map<string, Target[]>();
     private readonly byHash = new Map<number, Target>();
-    private readonly removedRecords: RemovedRecords;
+    private readonly removedRecords: RecordRemovalTracker;
     private readonly dataCentresOut = new Set<string>();
     private readonly availabilities = new AvailabilityRegistry();
     private readonly signalEmitter = new Emitter<ReceivedSignal>();
-    private services: ReadonlyMap<string, ServedService> = new Map();
+    private services: ReadonlyMap<string, ServiceConfiguration> = new Map();
 
     public readonly onDidReceiveSignal = this.signalEmitter.onDidFire;
 
     public constructor(private readonly options: TargetDirectoryOptions) {
-        this.removedRecords = new RemovedRecords(options, id => this.remove(id));
+        this.removedRecords = new RecordRemovalTracker(options, id => this.remove(id));
     }
 
-    public applyConfiguration(configuration: ServedConfiguration): void {
+    public applyConfiguration(configuration: GatewayConfiguration): void {
         this.services = new Map(configuration.services.map(service => [service.name, service]));
         for (const target of this.targets.values()) {
             target.applyService(this.services.get(target.entry.service));
@@ -65,7 +65,7 @@
         }
     }
 
-    public findService(name: string): ServedService | undefined {
+    public findService(name: string): ServiceConfiguration | undefined {
         return this.services.get(name);
     }
 
@@ -115,7 +115,7 @@
             .filter(({ availability, dataCentre }) => {
                 return availability.leaving === undefined && !this.dataCentresOut.has(dataCentre);
             })
-            .map(({ availability }) => availability.pause.computeLeftMs(nowMs));
+            .map(({ availability }) => availability.pause.computeRemainingMs(nowMs));
         return pauses.length === 0 || pauses.includes(0) ? undefined : Math.min(...pauses);
     }
 
@@ -140,14 +140,14 @@
      * Takes what a target says of itself in an answer to one of this router's requests. `availability`: of the incarnation that the
      * request was sent to; the target may have started anew since, and its new start has said nothing yet.
      */
-    public observeAnswer(target: Target, availability: TargetAvailability, head: AnswerHead): void {
+    public observeResponse(target: Target, availability: TargetAvailability, head: ResponseHead): void {
         // Another target has the address, and speaks of itself.
         if (head.isOtherTarget) {
             return;
         }
         this.observeSignals(target, availability, head);
-        if (head.pause.kind === "none" && !head.isNotRun) {
-            availability.pause.recordAnswer();
+        if (head.pause.kind === "none" && !head.isNotExecuted) {
+            availability.pause.recordResponse();
         }
     }
 
@@ -167,7 +167,7 @@
     }
 
     /** Another target has the address: the one that was known there is gone, whatever its entry says. */
-    public removeMoved(target: Target): void {
+    public removeReassigned(target: Target): void {
         this.options.logger.write("info", "a target's address belongs to another one", { target: target.id });
         this.remove(target.id);
     }
@@ -202,7 +202,7 @@
 
     private isReady(target: Target, nowMs: number): boolean {
         const { availability, dataCentre } = target;
-        return availability.canTake(nowMs) && !isRemoved(target, nowMs) && !this.dataCentresOut.has(dataCentre);
+        return availability.canAccept(nowMs) && !isRemoved(target, nowMs) && !this.dataCentresOut.has(dataCentre);
     }
 
     private applyEntry(id: string, entry: TargetEntry | undefined): void {
@@ -232,7 +232,7 @@
             this.options.logger.write("info", "a target was started anew", { target: id });
             known.clearParts();
             known.connections.closeIdle();
-            known.joinedAtMs = this.options.clock.nowMs();
+            known.incarnationSeenAtMs = this.options.clock.nowMs();
             this.setCold(known, this.services.get(entry.service)?.coldStartMs ?? 0);
         }
         known.applyEntry(entry);
@@ -273,7 +273,7 @@
             connectionLimits,
             this.availabilities,
         );
-        target.joinedAtMs = this.options.clock.nowMs();
+        target.incarnationSeenAtMs = this.options.clock.nowMs();
         this.setCold(target, entry.coldLeftMs);
         this.targets.set(entry.id, target);
         this.byHash.set(target.idHash, target);
@@ -306,7 +306,7 @@
         }
         this.targets.delete(id);
         this.byHash.delete(target.idHash);
-        this.availabilities.removeUnnamed(target.incarnation);
+        this.availabilities.removeWithoutStartTime(target.incarnation);
         const others = (this.byService.get(target.entry.service) ?? []).filter(other => other !== target);
         this.byService.set(target.entry.service, others);
         target.dispose();
--- a/src/gateway/targetSelector.ts
+++ b/src/gateway/targetSelector.ts
@@ -3,11 +3,11 @@
 import { pickCandidates } from "../decisions/placement/candidateSample.js";
 import {
     choosePromptPlacement,
-    findHome,
+    findPreferredTarget,
     type CacheTransfer,
     type PromptFetch,
 } from "../decisions/placement/promptPlacement.js";
-import type { EngineCapacity, ServedRoute, ServedService } from "./configuration.js";
+import type { EngineCapacity, RouteConfiguration, ServiceConfiguration } from "./configuration.js";
 import type { GatewayContext } from "./gatewayContext.js";
 import type { Grant } from "./grants/grantClient.js";
 import type { Target } from "./target.js";
@@ -16,7 +16,7 @@
 /** A target that can receive a request now, with the expected queue and times. */
 export interface Selection {
     readonly target: Target;
-    readonly service: ServedService;
+    readonly service: ServiceConfiguration;
     /** Cached tokens that the target first copies from another engine. */
     readonly fetch: PromptFetch<Target> | undefined;
     /** Prompt tokens of this request that the target has to prefill. */
@@ -26,13 +26,13 @@
     /** Expected time to the first event, or before a plain request starts; milliseconds. */
     readonly expectedMs: number;
     /** Expected time at a target without other load; milliseconds. */
-    readonly aloneMs: number;
+    readonly unloadedMs: number;
     /** Grant of the target's owner; undefined for plain services and if the owner did not reply. */
     readonly grant: Grant | undefined;
 }
 
 /** Why a request has no target. */
-export interface NoTarget {
+export interface NoTargetExplanation {
     readonly reason: "no-target" | "targets-pausing";
     readonly retryAfterMs: number;
 }
@@ -56,7 +56,7 @@
     public constructor(private readonly context: GatewayContext) {}
 
     /** Draws the service of the first attempt by weight; the other open services of the route follow as alternatives. */
-    public orderServices(route: ServedRoute): readonly string[] {
+    public orderServices(route: RouteConfiguration): readonly string[] {
         const openDestinations = route.destinations.filter(destination => destination.weight > 0);
         const totalWeight = openDestinations.reduce((sum, destination) => sum + destination.weight, 0);
         let point = this.context.random.next() * totalWeight;
@@ -100,7 +100,7 @@
     }
 
     /** Explains why none of the services has a target for a request, and when to retry. */
-    public explainNone(services: readonly string[]): NoTarget {
+    public explainNoTarget(services: readonly string[]): NoTargetExplanation {
         const { directory, random } = this.context;
         const pauses = services.map(name => directory.computePauseMs(name)).filter(ms => ms !== undefined);
         if (pauses.length === 0) {
@@ -112,39 +112,39 @@
     }
 
     /** Maximum number of connections of this router to one target of the service. */
-    public computeConnectionLimit(service: ServedService): number {
+    public computeConnectionLimit(service: ServiceConfiguration): number {
         const routers = this.context.peers.routers.routerIds.length;
         return Math.max(1, Math.floor((service.maxConnections * maxConnectionShare) / Math.max(1, routers)));
     }
 
-    private listCandidates(service: ServedService, isExcluded: TargetFilter): readonly Target[] {
+    private listCandidates(service: ServiceConfiguration, isExcluded: TargetFilter): readonly Target[] {
         const nowMs = this.context.clock.nowMs();
         return this.context.directory
             .listOpen(service.name)
             .filter(target => !isExcluded(target) && this.canStart(target, service, nowMs));
     }
 
-    private canStart(target: Target, service: ServedService, nowMs: number): boolean {
+    private canStart(target: Target, service: ServiceConfiguration, nowMs: number): boolean {
         return (
             target.circuit.canStart(nowMs) && (target.coldUntilMs <= nowMs || this.canSendCold(target, service, nowMs))
         );
     }
 
-    private canSendCold(target: Target, service: ServedService, nowMs: number): boolean {
+    private canSendCold(target: Target, service: ServiceConfiguration, nowMs: number): boolean {
         const rate = { requestsPerSecond: service.coldRequestsPerSecond, ...this.context.settings.coldLimit };
         if (rate.requestsPerSecond === 0) {
             return true;
         }
-        return target.cold.hasRoom(nowMs, computeColdShare(target.id, rate, this.context.peers.routers));
+        return target.cold.hasCapacity(nowMs, computeColdShare(target.id, rate, this.context.peers.routers));
     }
 
     private selectForPrompt(
-        service: ServedService,
+        service: ServiceConfiguration,
         candidates: readonly Target[],
         head: RequestHead,
         mostUse: number,
     ): Selection | undefined {
-        const model = this.context.firstTokenModels.find(service.name);
+        const model = this.context.firstTokenModels.getOrCreate(service.name);
         const request = {
             parts: head.promptParts,
             promptTokens: head.promptTokens,
@@ -154,11 +154,11 @@
         };
         const nowMs = this.context.clock.nowMs();
         const shared = head.promptParts.slice(0, -1);
-        const preferred = findHome(candidates, shared[shared.length - 1]?.id);
+        const preferred = findPreferredTarget(candidates, shared[shared.length - 1]?.id);
         const compared = pickCandidates(candidates, preferred, shared, this.context.random);
-        compared.forEach(target => target.updateWaiting(model.tokensPerMs, mostUse, nowMs));
+        compared.forEach(target => target.updateWaitingTokens(model.tokensPerMs, mostUse, nowMs));
         const idle = compared.reduce((count, target) => count + (target.waitingTokens === 0 ? 1 : 0), 0);
-        this.context.idleShares.find(service.name).observe(idle, compared.length, nowMs);
+        this.context.idleShares.getOrCreate(service.name).observe(idle, compared.length, nowMs);
         const placement = choosePromptPlacement(compared, request, this.listSources(service), preferred);
         if (placement === undefined) {
             return undefined;
@@ -171,13 +171,13 @@
             newTokens: placement.newTokens,
             tokensAhead: placement.tokensAhead,
             expectedMs: fetchMs + model.estimateMs(placement.tokensAhead),
-            aloneMs: fetchMs + model.estimateMs(placement.newTokens),
+            unloadedMs: fetchMs + model.estimateMs(placement.newTokens),
             grant: undefined,
         };
     }
 
     /** Engines from which others may copy cached tokens; one that fails or is about to stop would only delay the request. */
-    private listSources(service: ServedService): readonly Target[] {
+    private listSources(service: ServiceConfiguration): readonly Target[] {
         const nowMs = this.context.clock.nowMs();
         const { directory, rollouts } = this.context;
         return directory
@@ -185,7 +185,7 @@
             .filter(target => target.circuit.canStart(nowMs) && rollouts.isTrusted(target));
     }
 
-    private selectPlain(service: ServedService, candidates: readonly Target[]): Selection | undefined {
+    private selectPlain(service: ServiceConfiguration, candidates: readonly Target[]): Selection | undefined {
         const { random, settings } = this.context;
         const views = candidates.map(target => ({
             target,
@@ -196,7 +196,7 @@
             load: target.running,
             ownWaiting: 0,
             serviceTimeMs: target.serviceTimeMs,
-            holdsPrefix: false,
+            hasCachedPrefix: false,
         }));
         const request = { affinityHash: undefined, promptTokens: 0, dataCentre: settings.dataCentre };
         const chosen = choosePlacement(views, request, random);
@@ -212,7 +212,7 @@
             newTokens: 0,
             tokensAhead: 0,
             expectedMs,
-            aloneMs: 0,
+            unloadedMs: 0,
             grant: undefined,
         };
     }
--- a/src/gateway/targetSend.ts
+++ b/src/gateway/targetSend.ts
@@ -1,4 +1,4 @@
-import type { AttemptOutcome, StopReason, UnrunReason } from "./attempt.js";
+import type { AttemptOutcome, StopReason, NotExecutedReason } from "./attempt.js";
 import type { GatewayContext } from "./gatewayContext.js";
 import type { RoutedRequest } from "./routedRequest.js";
 import type { Selection, TargetSelector } from "./targetSelector.js";
@@ -48,7 +48,7 @@
         target.availability.pause.recordSend();
         target.circuit.observeStart(sendId);
         this.uncachedParts = routed.head.promptParts.length > 0 ? this.recordParts(routed.head) : [];
-        target.recordOwnWritten(newTokens + (selection.fetch?.tokens ?? 0) + outputTokens);
+        target.recordOwnWrittenTokens(newTokens + (selection.fetch?.tokens ?? 0) + outputTokens);
     }
 
     public handleOutput(isFirst: boolean): void {
@@ -67,7 +67,9 @@
         target.circuit.observeFirstOutput();
         if (tokensAhead > 0) {
             const tookMs = this.context.clock.nowMs() - this.startedAtMs - (fetch?.ms ?? 0);
-            this.context.firstTokenModels.find(service.name).observe(tokensAhead, newTokens, Math.max(0, tookMs));
+            this.context.firstTokenModels
+                .getOrCreate(service.name)
+                .observe(tokensAhead, newTokens, Math.max(0, tookMs));
         }
     }
 
@@ -114,14 +116,14 @@
         }
     }
 
-    private recordNotRun(reason: UnrunReason): void {
+    private recordNotRun(reason: NotExecutedReason): void {
         if (reason === "not-sent") {
             this.recordFailure();
             return;
         }
         this.recordNeutral();
         if (reason === "other-target") {
-            this.context.directory.removeMoved(this.selection.target);
+            this.context.directory.removeReassigned(this.selection.target);
         }
     }
 
@@ -159,7 +161,7 @@
         head.promptParts.slice(-1).forEach(part => target.recordPart(part.id, part.tokens));
         for (const part of shared) {
             if (target.recordPart(part.id, part.tokens)) {
-                this.context.peers.recordRead(target.idHash, part.id, part.tokens);
+                this.context.peers.recordPrefill(target.idHash, part.id, part.tokens);
             }
         }
         return uncached.map(part => part.id);
--- a/src/gateway/wire.ts
+++ b/src/gateway/wire.ts
@@ -12,7 +12,7 @@
     /** Id of this attempt of the caller; undefined if the caller sent none. */
     readonly requestId: string | undefined;
     /** Time until the caller's deadline when the request was received; milliseconds. */
-    readonly timeLeftMs: number | undefined;
+    readonly remainingMs: number | undefined;
     readonly apiKey: string | undefined;
     readonly promptTokens: number;
     readonly maxOutputTokens: number;
@@ -24,7 +24,7 @@
 
 /** Values that the router adds to a request's headers for its target. */
 export interface ForwardedFields {
-    readonly timeLeftMs: number;
+    readonly remainingMs: number;
     readonly targetId: string;
     readonly clientAccount: string | undefined;
     /** Id of the event after which to resume; undefined to start from the beginning. */
@@ -42,11 +42,11 @@
 }
 
 /** The decoded headers of a target's response. */
-export interface AnswerHead extends TargetSignals {
+export interface ResponseHead extends TargetSignals {
     /** Id of the request, as the target returned it. */
     readonly requestId: string | undefined;
     /** The target reports that it did not execute the request. */
-    readonly isNotRun: boolean;
+    readonly isNotExecuted: boolean;
     /** Another target now has the address; it did not execute the request either. */
     readonly isOtherTarget: boolean;
     /** The response is signed by the target's engine. */
@@ -61,9 +61,9 @@
     /** Headers for the target: those of the caller without the ones that only the router may set, and the given fields. */
     encodeForTarget(rawHeaders: readonly string[], fields: ForwardedFields): string[];
     /** `now`: wall-clock time at which the response head was received. */
-    decodeAnswer(status: number, headers: IncomingHttpHeaders, now: Date): AnswerHead;
+    decodeResponse(status: number, headers: IncomingHttpHeaders, now: Date): ResponseHead;
     /** Headers for the caller, from those of the target's response. */
     encodeForCaller(headers: IncomingHttpHeaders): Record<string, string | string[]>;
     /** Header that identifies the request in a response of the router itself. */
-    encodeOwnAnswer(requestId: string | undefined): Record<string, string>;
+    encodeRouterResponse(requestId: string | undefined): Record<string, string>;
 }
--- a/src/gateway/wireValues.ts
+++ b/src/gateway/wireValues.ts
@@ -4,7 +4,7 @@
 }
 
 /** Whether a decoded value is a finite number of 0 or more. */
-export function isAmount(value: unknown): value is number {
+export function isNonNegativeNumber(value: unknown): value is number {
     return typeof value === "number" && value >= 0 && value < Number.POSITIVE_INFINITY;
 }
 
@@ -14,6 +14,6 @@
 }
 
 /** Whether a decoded value is a non-empty string. */
-export function isName(value: unknown): value is string {
+export function isNonEmptyString(value: unknown): value is string {
     return typeof value === "string" && value.length > 0;
 }
--- a/test/cli/rollouts.test.ts
+++ b/test/cli/rollouts.test.ts
@@ -1,6 +1,6 @@
 import { expect, it } from "vitest";
 import { listenOn } from "../../src/control/server.js";
-import { noCounts } from "../../src/decisions/rollouts/versionEvidence.js";
+import { zeroCounts } from "../../src/decisions/rollouts/versionEvidence.js";
 import { createRolloutsApp } from "../../src/gateway/rollouts/rolloutsApi.js";
 import { findFreePort } from "../gateway/gatewayFixture.js";
 import { CliFixture } from "./cliFixtures.js";
@@ -19,10 +19,14 @@
             routes: [
                 {
                     route: "r-book",
-                    candidate: { ...noCounts, requests: 9, failures: 4, timed: 5 },
-                    baseline: { ...noCounts, requests: 80, timed: 80, slow: 1 },
+                    candidate: { ...zeroCounts, requests: 9, failures: 4, timed: 5 },
+                    baseline: { ...zeroCounts, requests: 80, timed: 80, slow: 1 },
+                },
+                {
+                    route: "r-find",
+                    candidate: { ...zeroCounts, requests: 8 },
+                    baseline: { ...zeroCounts, requests: 70 },
                 },
-                { route: "r-find", candidate: { ...noCounts, requests: 8 }, baseline: { ...noCounts, requests: 70 } },
             ],
         },
     ]);
--- a/test/decisions/admission/denialMemory.test.ts
+++ b/test/decisions/admission/denialCache.test.ts
@@ -1,11 +1,11 @@
 import { expect, it } from "vitest";
-import { DenialMemory } from "../../../src/decisions/admission/denialMemory.js";
+import { DenialCache } from "../../../src/decisions/admission/denialCache.js";
 
 /** An idle router of ten, all of which the account reaches. */
-const spread = { utilization: 0.1, accountPart: 0.1, routerCount: 10 };
+const spread = { utilization: 0.1, accountFraction: 0.1, routerCount: 10 };
 
 it("holds a denial for the account that was denied, for as little of the limit, until an engine has room", () => {
-    const memory = new DenialMemory();
+    const memory = new DenialCache();
     memory.record("flood", 0.4, 20, spread, 1_000);
     memory.record("other", 0.4, 500, spread, 1_000);
     expect({
@@ -29,10 +29,10 @@
 
 // Remembered for as long everywhere, an account at one router would ask owners a fraction of what one at all of them asks.
 it("holds a denial for as long as the account reaches routers, and for the longest time at a busy router", () => {
-    const memory = new DenialMemory();
-    memory.record("one", 0.4, 500, { ...spread, accountPart: 1 }, 1_000);
-    memory.record("some", 0.4, 500, { ...spread, accountPart: 0.2 }, 1_000);
-    memory.record("busy", 0.4, 500, { ...spread, accountPart: 1, utilization: 0.9 }, 1_000);
+    const memory = new DenialCache();
+    memory.record("one", 0.4, 500, { ...spread, accountFraction: 1 }, 1_000);
+    memory.record("some", 0.4, 500, { ...spread, accountFraction: 0.2 }, 1_000);
+    memory.record("busy", 0.4, 500, { ...spread, accountFraction: 1, utilization: 0.9 }, 1_000);
     const held = ["one", "some", "busy"].map(account => Math.round(memory.computeDeniedMs(account, 0.4, 1_000)));
     expect(held).toEqual([6, 30, 30]);
 });
--- a/test/decisions/admission/engineBudget.test.ts
+++ b/test/decisions/admission/engineBudget.test.ts
@@ -1,13 +1,13 @@
 import fc from "fast-check";
 import { describe, expect, it } from "vitest";
-import { EngineBudget, type EngineRate, type ReadingRequest } from "../../../src/decisions/admission/engineBudget.js";
+import { EngineBudget, type EngineRate, type PrefillRequest } from "../../../src/decisions/admission/engineBudget.js";
 
 const rate: EngineRate = { tokensPerMs: 50, slots: 4, readingShare: 0.5 };
 const spanMs = 400;
 const limitTokens = rate.tokensPerMs * spanMs * rate.readingShare;
 
-function createRequest(id: string, changes: Partial<ReadingRequest> = {}): ReadingRequest {
-    return { id, tokens: 4_000, mostAheadTokens: 20_000, mostUse: 1, spanMs, ...changes };
+function createRequest(id: string, changes: Partial<PrefillRequest> = {}): PrefillRequest {
+    return { id, tokens: 4_000, maxQueuedTokens: 20_000, maxUsage: 1, windowMs: spanMs, ...changes };
 }
 
 describe("an engine's budget", () => {
@@ -16,7 +16,7 @@
         const decisions = [
             budget.check(createRequest("a", { tokens: 9_000 }), rate, 0),
             budget.check(createRequest("b"), rate, 100),
-            budget.check(createRequest("wait", { mostUse: 2, mostAheadTokens: 1_000 }), rate, 100),
+            budget.check(createRequest("wait", { maxUsage: 2, maxQueuedTokens: 1_000 }), rate, 100),
             budget.check(createRequest("c"), rate, 400),
         ];
         expect(decisions.map(({ granted, retryAfterMs }) => [granted, retryAfterMs])).toMatchInlineSnapshot(`
@@ -44,7 +44,7 @@
     // A datagram that arrives twice would otherwise use the engine up for a request that runs once.
     it("books a request once however often it is asked for", () => {
         const budget = new EngineBudget();
-        const uses = [0, 10, 20].map(nowMs => budget.check(createRequest("a"), rate, nowMs).use);
+        const uses = [0, 10, 20].map(nowMs => budget.check(createRequest("a"), rate, nowMs).usage);
         expect(uses).toEqual([uses[0], uses[0], uses[0]]);
     });
 
@@ -54,7 +54,7 @@
         budget.recordEnd("a", false);
         const afterReturn = budget.check(createRequest("b"), rate, 1);
         budget.recordStart("b");
-        const waiting = budget.countWaiting(rate, 2);
+        const waiting = budget.countQueuedTokens(rate, 2);
         const running = budget.countRunning(2);
         budget.recordEnd("b", true);
         expect([afterReturn.granted, waiting, running, budget.countRunning(3)]).toEqual([true, 0, 1, 0]);
--- a/test/decisions/admission/promptAdmission.test.ts
+++ b/test/decisions/admission/promptAdmission.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from "vitest";
 import { SeededRandom } from "../../../src/base/random.js";
-import { AccountShares, computeFairLevel, noUse } from "../../../src/decisions/shares/accountShares.js";
+import { AccountShares, computeFairLevel, zeroUsage } from "../../../src/decisions/shares/accountShares.js";
 import { IdleShare } from "../../../src/decisions/shares/idleShare.js";
 import { checkPromptAdmission } from "../../../src/decisions/admission/promptAdmission.js";
 
@@ -32,17 +32,17 @@
                 continue;
             }
             results[account].asked += promptTokens;
-            shares.recordAsked(account, promptTokens, nowMs);
-            const aloneMs = fixedMs + promptTokens / tokensPerMs;
-            const expectedMs = aloneMs + waitingTokens / tokensPerMs;
-            const shareUse = shares.computeUse(account, [], tokensPerSecond, nowMs);
+            shares.recordRequested(account, promptTokens, nowMs);
+            const unloadedMs = fixedMs + promptTokens / tokensPerMs;
+            const expectedMs = unloadedMs + waitingTokens / tokensPerMs;
+            const shareUse = shares.computeUsage(account, [], tokensPerSecond, nowMs);
             idle.observe(waitingTokens === 0 ? 1 : 0, 1, nowMs);
             const view = {
                 expectedMs,
-                aloneMs,
+                unloadedMs: unloadedMs,
                 objectiveMs,
                 pauseObjectiveMs,
-                timeLeftMs: 6_000,
+                remainingMs: 6_000,
                 shareUse,
                 idleShare: idle.current,
             };
@@ -81,11 +81,11 @@
 
     it("takes a request that is late by its own length, and not one behind a queue", () => {
         const view = {
-            aloneMs: 900,
+            unloadedMs: 900,
             objectiveMs: 800,
             pauseObjectiveMs: 1_000,
-            timeLeftMs: 6_000,
-            shareUse: noUse,
+            remainingMs: 6_000,
+            shareUse: zeroUsage,
             idleShare: 0,
         };
         const decide = (expectedMs: number): unknown => checkPromptAdmission({ ...view, expectedMs });
--- a/test/decisions/health/lapsePolicy.test.ts
+++ b/test/decisions/health/recordExpiryPolicy.test.ts
@@ -1,12 +1,12 @@
 import { expect, it } from "vitest";
-import { BoundedLapses, type StoreContact } from "../../../src/decisions/health/lapsePolicy.js";
+import { BoundedExpiryGrace, type StoreContact } from "../../../src/decisions/health/recordExpiryPolicy.js";
 
 const bounds = { drainMs: 2_000, contactMs: 3_000, deliveryMs: 300 };
 const nowMs = 10_000;
 
 /** For how long a target is kept whose removal is read now; milliseconds. */
 function computeKeptMs(contact: StoreContact): number {
-    const { keptUntilMs } = new BoundedLapses(() => contact, bounds).checkRemoval(nowMs);
+    const { keptUntilMs } = new BoundedExpiryGrace(() => contact, bounds).checkRemoval(nowMs);
     return keptUntilMs === undefined ? 0 : keptUntilMs - nowMs;
 }
 
--- a/test/decisions/health/targetAvailability.property.test.ts
+++ b/test/decisions/health/targetAvailability.property.test.ts
@@ -40,7 +40,7 @@
                         nowMs += step.ms;
                     }
                     expect(availability.isClosed(nowMs)).toBe(isLeaving || nowMs < untilMs);
-                    expect(availability.canTake(nowMs) && availability.isClosed(nowMs)).toBe(false);
+                    expect(availability.canAccept(nowMs) && availability.isClosed(nowMs)).toBe(false);
                 }
             }),
             { seed },
@@ -63,9 +63,9 @@
         const pause = new TargetPause();
         pause.record(500, 0);
         const counts = [countSends(pause, 499), countSends(pause, 500)];
-        pause.recordAnswer();
+        pause.recordResponse();
         counts.push(countSends(pause, 510));
-        pause.recordAnswer();
+        pause.recordResponse();
         counts.push(countSends(pause, 520), countSends(pause, 1_500));
         expect(counts).toMatchInlineSnapshot(`
           [
@@ -82,7 +82,7 @@
         const pause = new TargetPause();
         pause.record(500, 0);
         countSends(pause, 500);
-        pause.recordAnswer();
+        pause.recordResponse();
         pause.record(100, 600);
         expect([countSends(pause, 650), countSends(pause, 700)]).toEqual([0, 1]);
     });
--- a/test/decisions/limits/coldLimit.property.test.ts
+++ b/test/decisions/limits/coldLimit.property.test.ts
@@ -32,7 +32,7 @@
                     const sent: number[] = [];
                     for (const [index, atMs] of [...arrivals].sort((a, b) => a - b).entries()) {
                         const router = index % count;
-                        if (limiters[router].hasRoom(atMs, shares[router])) {
+                        if (limiters[router].hasCapacity(atMs, shares[router])) {
                             limiters[router].recordSend(atMs);
                             sent.push(atMs);
                         }
--- a/test/decisions/limits/orderPolicy.test.ts
+++ b/test/decisions/limits/orderPolicy.test.ts
@@ -1,8 +1,8 @@
 import { describe, expect, it } from "vitest";
-import { checkOrder, type OrderSituation } from "../../../src/decisions/limits/orderPolicy.js";
+import { checkOrder, type OrderContext } from "../../../src/decisions/limits/orderPolicy.js";
 
 describe("checkOrder", () => {
-    const base: OrderSituation = {
+    const base: OrderContext = {
         ownOffset: 12,
         newestOffset: 12,
         checkedAtMs: 9_500,
@@ -13,7 +13,7 @@
     // The operators see: an old agent's order does not undo a new one's. The old agent was paused and wakes; a newer one
     // may have registered meanwhile.
     it("sends no order on a registration that may be old, unless the target itself checks the number", () => {
-        const decide = (changes: Partial<OrderSituation>): string => {
+        const decide = (changes: Partial<OrderContext>): string => {
             const decision = checkOrder({ ...base, ...changes }, 10_000);
             return decision.decision === "send" ? `send with ${decision.fencing}` : decision.decision;
         };
--- a/test/decisions/placement/placement.test.ts
+++ b/test/decisions/placement/placement.test.ts
@@ -15,7 +15,7 @@
     load: 4,
     ownWaiting: 0,
     serviceTimeMs: 2_000,
-    holdsPrefix: false,
+    hasCachedPrefix: false,
     ...changes,
 });
 const names = Array.from({ length: 13 }, (...[, index]) => `t${index + 1}`);
@@ -67,13 +67,13 @@
     });
 
     it("follows a cache hint, and does without one", () => {
-        const candidates = names.map(name => createCandidate(name, { holdsPrefix: name === "t9" }));
+        const candidates = names.map(name => createCandidate(name, { hasCachedPrefix: name === "t9" }));
         expect(Object.keys(countChoices(candidates, computeAffinityHash("department", "roster")))).toEqual(["t9"]);
     });
 
     it("never lets affinity wait while a target has room", () => {
         const candidates = names.map(name =>
-            createCandidate(name, { holdsPrefix: name !== "t4", load: name === "t4" ? 15 : 16 }),
+            createCandidate(name, { hasCachedPrefix: name !== "t4", load: name === "t4" ? 15 : 16 }),
         );
         expect(Object.keys(countChoices(candidates, computeAffinityHash("department", "roster")))).toEqual(["t4"]);
     });
@@ -86,7 +86,7 @@
 
     it("puts an account's next request where none of its own waits when all are full", () => {
         const full = names.map(name =>
-            createCandidate(name, { load: 20, ownWaiting: name === "t7" ? 0 : 1, holdsPrefix: name === "t1" }),
+            createCandidate(name, { load: 20, ownWaiting: name === "t7" ? 0 : 1, hasCachedPrefix: name === "t1" }),
         );
         expect(countChoices(full, computeAffinityHash("department", "roster"))).toEqual({ t7: 200 });
     });
--- a/test/decisions/placement/promptPlacement.test.ts
+++ b/test/decisions/placement/promptPlacement.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from "vitest";
 import { hashFast } from "../../../src/base/hash.js";
 import { SeededRandom } from "../../../src/base/random.js";
-import { HeldParts } from "../../../src/decisions/placement/heldParts.js";
+import { CachedParts } from "../../../src/decisions/placement/cachedParts.js";
 import {
     choosePromptPlacement,
     type PromptCandidate,
@@ -91,7 +91,7 @@
     // Other routers send an engine prompts whose own parts this router never hears of by name. They push a shared part out
     // unseen; believed kept, it is read again for each request that is sent there for its sake.
     it("ends when as many tokens as it keeps were written there by anybody", () => {
-        const held = new HeldParts(cacheTokens);
+        const held = new CachedParts(cacheTokens);
         held.recordUse("calendar", sharedTokens);
         const believed = [];
         for (let written = 0; written <= cacheTokens; written += 25_000) {
@@ -102,7 +102,7 @@
     });
 
     it("tells others of a part that is new or was long unused, and not of each use", () => {
-        const held = new HeldParts(cacheTokens);
+        const held = new CachedParts(cacheTokens);
         const told = [];
         for (let use = 0; use < 5; use++) {
             told.push(held.recordUse("calendar", sharedTokens));
@@ -115,7 +115,7 @@
     // 0.88 of it was when routers counted only parts that they knew, and 0.99 is now.
     it("is mostly true beside another router's requests", () => {
         const random = new SeededRandom(3);
-        const held = new HeldParts(cacheTokens);
+        const held = new CachedParts(cacheTokens);
         const engine = new Map<string, number>();
         let right = 0;
         let believed = 0;
--- a/test/decisions/placement/targetOwners.test.ts
+++ b/test/decisions/placement/targetOwners.test.ts
@@ -19,12 +19,12 @@
         const owners = new TargetOwners(() => routerIds);
         const [hash] = targetHashes;
         const first = owners.find(hash, 0)!;
-        owners.recordSilence(first, 0);
+        owners.recordTimeout(first, 0);
         const second = owners.find(hash, 100);
         const again = owners.find(hash, 600);
-        owners.recordSilence(first, 600);
+        owners.recordTimeout(first, 600);
         const later = owners.find(hash, 1_500);
-        owners.recordAnswer(first);
+        owners.recordReply(first);
         expect([second !== first, again === first, later === second, owners.find(hash, 1_501) === first]).toEqual([
             true,
             true,
@@ -35,8 +35,8 @@
 
     it("is nobody while all that could be it are silent", () => {
         const owners = new TargetOwners(() => ["a", "b"]);
-        owners.recordSilence("a", 0);
-        owners.recordSilence("b", 0);
+        owners.recordTimeout("a", 0);
+        owners.recordTimeout("b", 0);
         expect(owners.find(1, 1)).toBeUndefined();
     });
 });
--- a/test/decisions/quarantine/crashLedger.test.ts
+++ b/test/decisions/quarantine/crashLedger.test.ts
@@ -2,8 +2,8 @@
 import { describe, expect, it } from "vitest";
 import {
     CrashLedger,
-    freshRunWeight,
-    provenRunWeight,
+    noOutputRunWeight,
+    partialOutputRunWeight,
     type CrashEvidence,
 } from "../../../src/decisions/quarantine/crashLedger.js";
 import { SeededRandom } from "../../../src/base/random.js";
@@ -11,7 +11,7 @@
 const digest = "d".repeat(32);
 const firstHoldMs = 600_000;
 
-function createEvidence(incarnation: number, weight = freshRunWeight): CrashEvidence {
+function createEvidence(incarnation: number, weight = noOutputRunWeight): CrashEvidence {
     return { digest, prefixHash: 7, incarnation, weight };
 }
 
@@ -21,7 +21,7 @@
         const proven = new CrashLedger();
         const standings = [1, 2, 3, 4, 5, 6].map(incarnation => {
             fresh.record(createEvidence(incarnation), 0);
-            proven.record(createEvidence(incarnation, provenRunWeight), 0);
+            proven.record(createEvidence(incarnation, partialOutputRunWeight), 0);
             return `${fresh.check(digest, 0)} ${proven.check(digest, 0)}`;
         });
         expect(standings).toMatchInlineSnapshot(`
@@ -79,7 +79,7 @@
         const ledger = new CrashLedger();
         const countToHold = (name: string, prefixHash: number): number => {
             for (let count = 1; ; count++) {
-                if (ledger.record({ digest: name, prefixHash, incarnation: count, weight: freshRunWeight }, 0)) {
+                if (ledger.record({ digest: name, prefixHash, incarnation: count, weight: noOutputRunWeight }, 0)) {
                     return count;
                 }
             }
@@ -144,7 +144,7 @@
             crashed.set(engine, ++incarnation);
         }
         for (const stream of streams.filter(({ engine }) => crashed.has(engine))) {
-            const weight = nowMs >= stream.outputAtMs ? provenRunWeight : freshRunWeight;
+            const weight = nowMs >= stream.outputAtMs ? partialOutputRunWeight : noOutputRunWeight;
             const evidence = { digest: stream.digest, prefixHash: 1, incarnation: crashed.get(stream.engine)!, weight };
             held += ledger.record(evidence, nowMs) ? 1 : 0;
             place(stream, nowMs);
--- a/test/decisions/retries/retries.test.ts
+++ b/test/decisions/retries/retries.test.ts
@@ -9,7 +9,7 @@
         // Everything of one account fails at once. Its retries end at a tenth of its first tries; the other's go on.
         const budget = new RetryBudget();
         for (let index = 0; index < 1_000; index++) {
-            budget.recordFirstTry(index % 2 === 0 ? "failing" : "calm", 5_000);
+            budget.recordFirstAttempt(index % 2 === 0 ? "failing" : "calm", 5_000);
         }
         const take = (account: string, atMs: number): number =>
             Array.from({ length: 500 }).filter(() => budget.takeRetry(account, 0.1, atMs)).length;
@@ -53,7 +53,7 @@
     it("allows only what does no harm twice or is known not to have run", () => {
         const rows = [true, false].flatMap(idempotent =>
             (["not-run", "unknown", "ran"] as const).map(execution => {
-                const verdict = canRetry({ idempotent, execution, attempt: 1, boundToHome: false });
+                const verdict = canRetry({ idempotent, execution, attempt: 1, boundToOwner: false });
                 return `${idempotent ? "idempotent" : "once"} ${execution}: ${verdict}`;
             }),
         );
@@ -68,8 +68,8 @@
           ]
         `);
         const safe = { idempotent: true, execution: "not-run" } as const;
-        expect(canRetry({ ...safe, attempt: 1, boundToHome: true })).toBe(false);
-        expect(canRetry({ ...safe, attempt: 4, boundToHome: false })).toBe(false);
+        expect(canRetry({ ...safe, attempt: 1, boundToOwner: true })).toBe(false);
+        expect(canRetry({ ...safe, attempt: 4, boundToOwner: false })).toBe(false);
     });
 });
 
@@ -79,7 +79,7 @@
     it("forgets first tries that are older than the window", () => {
         const budget = new RetryBudget({ perAccount: 0, perRouter: 0 }, 4_000);
         for (let index = 0; index < 10; index++) {
-            budget.recordFirstTry("north", 0);
+            budget.recordFirstAttempt("north", 0);
         }
         expect([budget.takeRetry("north", 0.2, 3_000), budget.takeRetry("north", 0.2, 5_000)]).toEqual([true, false]);
     });
--- a/test/decisions/rollouts/exposureBudget.property.test.ts
+++ b/test/decisions/rollouts/exposureBudget.property.test.ts
@@ -23,7 +23,7 @@
                         budgets[index] = new ExposureBudget(limit, routers);
                     }
                     budgets[index].recordRequest();
-                    if (budgets[index].hasRoom) {
+                    if (budgets[index].hasCapacity) {
                         budgets[index].recordExposed();
                         exposed += 1;
                     }
--- a/test/decisions/rollouts/rolloutJudge.test.ts
+++ b/test/decisions/rollouts/rolloutEvaluator.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from "vitest";
 import { SeededRandom } from "../../../src/base/random.js";
-import { RolloutJudge } from "../../../src/decisions/rollouts/rolloutJudge.js";
+import { RolloutEvaluator } from "../../../src/decisions/rollouts/rolloutEvaluator.js";
 import { EvidenceCounter, type VersionSample } from "../../../src/decisions/rollouts/versionEvidence.js";
 
 const seed = 20_261_204;
@@ -9,7 +9,7 @@
 /** Feeds samples one by one, with as many of the old version, which are sound; returns the verdict after each. */
 function listVerdicts(samples: readonly VersionSample[]): readonly string[] {
     const counter = new EvidenceCounter();
-    const judged = new RolloutJudge();
+    const judged = new RolloutEvaluator();
     return samples.map((next, index) => {
         counter.observe({ ...sample, route: next.route, isCandidate: false });
         counter.observe(next);
@@ -61,7 +61,7 @@
 
     it("is not judged good while a route has not been seen", () => {
         const counter = new EvidenceCounter();
-        const judged = new RolloutJudge();
+        const judged = new RolloutEvaluator();
         for (let index = 0; index < 200; index++) {
             counter.observe({ ...sample, isCandidate: false });
             counter.observe({ ...sample, isCandidate: false, route: "b" });
@@ -73,7 +73,7 @@
 
     // Routers restart with counts that begin anew; what they had reported before must not be taken back.
     it("keeps what a router reported before it started anew", () => {
-        const judged = new RolloutJudge();
+        const judged = new RolloutEvaluator();
         const before = new EvidenceCounter();
         before.observe(sample);
         judged.apply("router-1 1", before.evidence, 0);
--- a/test/decisions/shares/accountShares.test.ts
+++ b/test/decisions/shares/accountShares.test.ts
@@ -11,7 +11,7 @@
     const shares = new AccountShares(windowMs);
     for (let nowMs = fromMs; nowMs < toMs; nowMs += stepMs) {
         for (const [account, rate] of Object.entries(rates)) {
-            shares.recordAsked(account, (rate * stepMs) / 1_000, nowMs);
+            shares.recordRequested(account, (rate * stepMs) / 1_000, nowMs);
             shares.recordServed(account, (rate * stepMs) / 1_000, nowMs);
         }
     }
@@ -26,7 +26,7 @@
     it("is above one for a flooding account alone, once a window is full", () => {
         const shares = createShares(flood, 0, windowMs);
         const uses = Object.keys(flood).map(
-            account => shares.computeUse(account, noPeers, tokensPerSecond, windowMs).share,
+            account => shares.computeUsage(account, noPeers, tokensPerSecond, windowMs).share,
         );
         expect(uses.map(use => use > 1)).toEqual([true, false, false]);
     });
@@ -37,7 +37,7 @@
     it("is above one for a flooding account within the first second of traffic", () => {
         const atMs = 900;
         const shares = createShares(flood, 0, atMs);
-        expect(shares.computeUse("flooding", noPeers, tokensPerSecond, atMs).share).toBeGreaterThan(1);
+        expect(shares.computeUsage("flooding", noPeers, tokensPerSecond, atMs).share).toBeGreaterThan(1);
     });
 
     // An account was quiet, and begins to flood. Over the window it has had little; it takes all engines for a second, in which
@@ -45,12 +45,12 @@
     it("is high for an account whose flood began less than a second ago, and low for one with a usual prompt", () => {
         const atMs = 5_750;
         const shares = createShares({ flooding: 2_400_000 }, 5_000, atMs);
-        shares.recordAsked("modest", 20_000, 5_400);
+        shares.recordRequested("modest", 20_000, 5_400);
         shares.recordServed("modest", 20_000, 5_400);
-        const early = createShares({ first: 4_000_000, second: 4_000_000 }, 0, 4_000).listOwn(4_000);
+        const early = createShares({ first: 4_000_000, second: 4_000_000 }, 0, 4_000).listOwnAccounts(4_000);
         const peer = { ...early, ageMs: 0 };
         const uses = ["flooding", "modest"].map(
-            account => shares.computeUse(account, [peer], tokensPerSecond, atMs).share,
+            account => shares.computeUsage(account, [peer], tokensPerSecond, atMs).share,
         );
         expect(uses[0]).toBeGreaterThan(0.75);
         expect(uses[1]).toBeLessThan(0.1);
@@ -60,10 +60,10 @@
     // been up itself, everybody would seem far beyond his share, and nearly all requests would be refused.
     it("counts the time that the fleet's sums cover, not that of a router just started", () => {
         const shares = new AccountShares(windowMs);
-        shares.recordAsked("modest", 1_000, 0);
+        shares.recordRequested("modest", 1_000, 0);
         const use = { asked: 1_600_000, served: 1_600_000, recentlyServed: 600_000 };
         const peer = { coveredMs: windowMs, ageMs: 0, accounts: new Map([["modest", use]]) };
-        expect(shares.computeUse("modest", [peer], tokensPerSecond, 100).share).toBeLessThan(1);
+        expect(shares.computeUsage("modest", [peer], tokensPerSecond, 100).share).toBeLessThan(1);
     });
 });
 
@@ -74,12 +74,12 @@
         const shares = createShares({ early: 2_000_000 }, 0, 4_000);
         for (let nowMs = 4_000; nowMs < 6_000; nowMs += stepMs) {
             for (const account of ["early", "late"]) {
-                shares.recordAsked(account, 100_000, nowMs);
+                shares.recordRequested(account, 100_000, nowMs);
                 shares.recordServed(account, 50_000, nowMs);
             }
         }
         const [early, late] = ["early", "late"].map(account =>
-            shares.computeUse(account, noPeers, tokensPerSecond, 6_000),
+            shares.computeUsage(account, noPeers, tokensPerSecond, 6_000),
         );
         expect(early.share / late.share).toBeGreaterThan(1.5);
         expect(early.surplus).toBeCloseTo(late.surplus, 1);
--- a/test/decisions/shares/engineShares.test.ts
+++ b/test/decisions/shares/engineShares.test.ts
@@ -9,7 +9,7 @@
     const shares = new EngineShares();
     for (const [account, count] of Object.entries(counts)) {
         for (let index = 0; index < count; index++) {
-            shares.recordAsked(Number(account), tokens, index * 100);
+            shares.recordRequested(Number(account), tokens, index * 100);
             shares.recordGranted(Number(account), tokens, index * 100);
         }
     }
--- a/test/decisions/shares/estimateSpread.test.ts
+++ b/test/decisions/shares/estimateSpread.test.ts
@@ -30,22 +30,22 @@
 function listFactors(seed: number): readonly number[] {
     const random = new SeededRandom(seed);
     const shares = Array.from({ length: routerCount }, () => new AccountShares(windowMs));
-    const reports = shares.map(router => ({ ...router.listOwn(0), atMs: 0 }));
+    const reports = shares.map(router => ({ ...router.listOwnAccounts(0), atMs: 0 }));
     const clock = new ManualClock();
     const aggregations = createAggregations(shares, clock);
     const factors: number[] = [];
     const serve = (account: string, routerIndex: number, part: number, nowMs: number): void => {
-        shares[routerIndex].recordAsked(account, requestTokens, nowMs);
+        shares[routerIndex].recordRequested(account, requestTokens, nowMs);
         if (random.next() < part) {
             shares[routerIndex].recordServed(account, requestTokens, nowMs);
         }
     };
     const computeSurplus = (routerIndex: number, peers: readonly ReportedRouter[], nowMs: number): number =>
-        shares[routerIndex].computeUse("flood", peers, tokensPerSecond, nowMs).surplus;
+        shares[routerIndex].computeUsage("flood", peers, tokensPerSecond, nowMs).surplus;
     for (let nowMs = 0; nowMs < runMs; nowMs++) {
         for (const [index, router] of shares.entries()) {
             if (isDue(index, meshPeriodMs, nowMs)) {
-                reports[index] = { ...router.listOwn(nowMs), atMs: nowMs };
+                reports[index] = { ...router.listOwnAccounts(nowMs), atMs: nowMs };
             }
             if (isDue(index, aggregationPeriodMs, nowMs)) {
                 for (const { routerId, message } of aggregations[index].createMessages()) {
@@ -60,13 +60,13 @@
             serve("narrow", 0, narrowGrantedPart, nowMs);
         }
         if (nowMs >= warmUpMs && nowMs % checkPeriodMs === 0) {
-            const exact = shares.map(router => ({ ...router.listOwn(nowMs), ageMs: 0 }));
+            const exact = shares.map(router => ({ ...router.listOwnAccounts(nowMs), ageMs: 0 }));
             for (const index of shares.keys()) {
-                const others = aggregations[index].findOthers();
+                const others = aggregations[index].findOtherRouters();
                 const reported = reports
                     .map(report => ({ ...report, ageMs: nowMs - report.atMs }))
                     .filter((...[, other]) => other !== index && others === undefined);
-                const peers = others === undefined ? reported : [others.use];
+                const peers = others === undefined ? reported : [others.totals];
                 factors.push(computeSurplus(index, peers, nowMs) / computeExactSurplus(exact, nowMs));
             }
         }
@@ -93,7 +93,7 @@
         return new AccountAggregation({
             ownId: String(index),
             clock,
-            listOwnAccounts: () => router.listOwn(clock.nowMs()),
+            listOwnAccounts: () => router.listOwnAccounts(clock.nowMs()),
             getCondition: () => conditions[index],
             getConditions: () => others,
         });
@@ -102,7 +102,7 @@
 
 /** By books of its own, as a router keeps its sums for some milliseconds. */
 function computeExactSurplus(exact: readonly ReportedRouter[], nowMs: number): number {
-    return new AccountShares(windowMs).computeUse("flood", exact, tokensPerSecond, nowMs).surplus;
+    return new AccountShares(windowMs).computeUsage("flood", exact, tokensPerSecond, nowMs).surplus;
 }
 
 describe("68 routers that an account floods", () => {
--- a/test/decisions/shares/narrowAccounts.test.ts
+++ b/test/decisions/shares/narrowAccounts.test.ts
@@ -39,20 +39,20 @@
 ): { readonly narrow: number; readonly wide: number } {
     const random = new SeededRandom(seed);
     const shares = Array.from({ length: routerCount }, () => new AccountShares(windowMs));
-    const reports = shares.map(router => ({ ...router.listOwn(0), atMs: 0 }));
+    const reports = shares.map(router => ({ ...router.listOwnAccounts(0), atMs: 0 }));
     const sums = new Map([
         ["narrow", { surplus: 0, requests: 0 }],
         ["wide", { surplus: 0, requests: 0 }],
     ]);
     const serve = ({ account, routerIndex }: Arrival, nowMs: number): void => {
         const router = shares[routerIndex];
-        router.recordAsked(account, requestTokens, nowMs);
+        router.recordRequested(account, requestTokens, nowMs);
         const own = sums.get(account);
         if (own !== undefined && nowMs >= warmUpMs) {
             const peers: readonly ReportedRouter[] = reports
                 .filter((...[, index]) => index !== routerIndex)
                 .map(report => ({ ...report, ageMs: nowMs - report.atMs }));
-            own.surplus += router.computeUse(account, peers, tokensPerSecond, nowMs).surplus;
+            own.surplus += router.computeUsage(account, peers, tokensPerSecond, nowMs).surplus;
             own.requests += 1;
         }
         if (random.next() < grantedPart) {
@@ -63,7 +63,7 @@
     for (let nowMs = 0; nowMs < runMs; nowMs++) {
         for (const [index, router] of shares.entries()) {
             if ((nowMs + Math.floor((index * periodMs) / routerCount)) % periodMs === 0) {
-                reports[index] = { ...router.listOwn(nowMs), atMs: nowMs };
+                reports[index] = { ...router.listOwnAccounts(nowMs), atMs: nowMs };
             }
         }
         if (random.next() < otherRate / msPerSecond) {
--- a/test/decisions/shares/serviceLedger.test.ts
+++ b/test/decisions/shares/serviceLedger.test.ts
@@ -92,11 +92,11 @@
         cap.observeCost(100, 0);
         const floors: (number | undefined)[] = [];
         for (let nowMs = 0; nowMs <= 12_000; nowMs += 1_000) {
-            cap.observeGreatest(nowMs < 5_000 ? 1_000 : 50_000, nowMs);
+            cap.observeMaxService(nowMs < 5_000 ? 1_000 : 50_000, nowMs);
             floors.push(cap.getFloor(nowMs));
         }
         for (let nowMs = 13_000; nowMs <= 16_000; nowMs += 1_000) {
-            cap.observeGreatest(50_000, nowMs);
+            cap.observeMaxService(50_000, nowMs);
             floors.push(cap.getFloor(nowMs));
         }
         expect(floors.map(floor => floor ?? "-").join(" ")).toMatchInlineSnapshot(
--- a/test/fleet/agentCore.property.test.ts
+++ b/test/fleet/agentCore.property.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from "vitest";
 import { catchUpWindowMs } from "../../src/decisions/shares/catchUpCap.js";
 import { idleAfterMs } from "../../src/decisions/shares/serviceLedger.js";
-import { shortSeenWithinMs } from "../../src/decisions/admission/shortReserve.js";
+import { shortReserveExpiryMs } from "../../src/decisions/admission/shortReserve.js";
 import type { AgentCore } from "../../src/fleet/agent/agentCore.js";
 import type { AgentEffect, AgentMessage, RunOutcome } from "../../src/fleet/agentMessages.js";
 import { createAgent, createDocument, createRequest, ListRecorder } from "./agentFixtures.js";
@@ -265,7 +265,7 @@
             return;
         }
         const waiting = [...this.queued.keys()].map(id => this.classes.get(id));
-        const isReserved = this.nowMs - this.lastShortAtMs < shortSeenWithinMs;
+        const isReserved = this.nowMs - this.lastShortAtMs < shortReserveExpiryMs;
         check(
             waiting.every(workClass => workClass === "long" && isReserved),
             `slots stand free while ${waiting.length} wait`,
--- a/test/fleet/agentFleetDriver.ts
+++ b/test/fleet/agentFleetDriver.ts
@@ -421,14 +421,14 @@
     }
 
     private runUntil(untilMs: number): void {
-        let next = this.events.getLeast();
+        let next = this.events.getMin();
         while (next !== undefined && next.priority <= untilMs) {
             this.events.remove(next.key);
             this.nowMs = Math.max(this.nowMs, next.priority);
             const action = this.actions.get(next.key);
             this.actions.delete(next.key);
             action?.();
-            next = this.events.getLeast();
+            next = this.events.getMin();
         }
         this.nowMs = untilMs;
     }
--- a/test/gateway/accountSummary.test.ts
+++ b/test/gateway/accountSummary.test.ts
@@ -1,6 +1,6 @@
 import { afterEach, beforeEach, describe, expect, it, vi } from "vitest";
 import type { LogFields, Logger } from "../../src/base/log.js";
-import { AccountFigures } from "../../src/gateway/accountFigures.js";
+import { AccountStatistics } from "../../src/gateway/accountStatistics.js";
 import { AccountSummary } from "../../src/gateway/accountSummary.js";
 
 beforeEach(() => {
@@ -15,13 +15,13 @@
     // Lines of single requests are limited to a rate, and an account with few callers may have none among them.
     it("names the most refused of the last second, and is left out where nothing was refused", () => {
         const lines: (LogFields | undefined)[] = [];
-        const figures = new AccountFigures();
+        const figures = new AccountStatistics();
         const logger: Logger = { write: (...[, , fields]) => void lines.push(fields) };
         const summary = new AccountSummary(logger, () =>
             figures.listAll().map(([account, counts]) => ({
                 account,
                 counts,
-                computeUse: () => ({ share: 0.256, surplus: 1.5, sumsAgeMs: 0 }),
+                computeUsage: () => ({ share: 0.256, surplus: 1.5, sumsAgeMs: 0 }),
             })),
         );
         for (let index = 0; index < 7; index++) {
--- a/test/gateway/coldTarget.test.ts
+++ b/test/gateway/coldTarget.test.ts
@@ -2,17 +2,17 @@
 import { ModelRouter } from "../../bench/gateway/modelRouter.js";
 import { ManualClock } from "../../src/base/clock.js";
 import { SeededRandom } from "../../src/base/random.js";
-import type { ServedRoute } from "../../src/gateway/configuration.js";
+import type { RouteConfiguration } from "../../src/gateway/configuration.js";
 import type { GrantMessage } from "../../src/gateway/grants/grantMessage.js";
 import { RequestIdentity } from "../../src/gateway/quarantine/requestIdentity.js";
-import { RequestFigures } from "../../src/gateway/accountFigures.js";
+import { RequestStatistics } from "../../src/gateway/accountStatistics.js";
 import { RequestAdmission } from "../../src/gateway/requestAdmission.js";
 import { TargetSelector } from "../../src/gateway/targetSelector.js";
 import { openTargetSend } from "../../src/gateway/targetSend.js";
 
 const service = "engines";
 const ownerId = "owner";
-const route: ServedRoute = {
+const route: RouteConfiguration = {
     name: "stream",
     host: "fleet.example",
     pathPrefix: "/",
@@ -43,7 +43,7 @@
 };
 const head = {
     requestId: "r",
-    timeLeftMs: 8_000,
+    remainingMs: 8_000,
     apiKey: undefined,
     promptTokens: 100,
     maxOutputTokens: 10,
@@ -109,7 +109,7 @@
 /** Requests admission, and opens the send once the request is admitted, as the request flow does. */
 function submitRequest({ context }: ModelRouter, outcomes: boolean[]): void {
     const selector = new TargetSelector(context);
-    const figures = new RequestFigures(undefined, 0);
+    const figures = new RequestStatistics(undefined, 0);
     const arrivedAtMs = context.clock.nowMs();
     const routed = { head, route, account: undefined, body: undefined, identity, arrivedAtMs, figures };
     const admission = new RequestAdmission({
@@ -118,8 +118,8 @@
         selector,
         outputTokens: 10,
         chargedTokens: 0,
-        isLeftOut: () => false,
-        getTimeLeftMs: () => 8_000,
+        isExcluded: () => false,
+        getRemainingMs: () => 8_000,
     });
     admission.check([service], outcome => {
         const { selection } = outcome;
@@ -149,9 +149,9 @@
     kind: "reply",
     isKnown: true,
     newTokens: 100,
-    aheadTokens: 0,
-    use: 0.1,
-    mostUse: 1,
+    queuedTokens: 0,
+    usage: 0.1,
+    maxUsage: 1,
     retryAfterMs: 0,
 } as const;
 
--- a/test/gateway/crashingRequests.test.ts
+++ b/test/gateway/crashingRequests.test.ts
@@ -1,6 +1,6 @@
 import { afterEach, beforeEach, describe, expect, it } from "vitest";
 import { fetchHeldRequests, releaseHeldRequest } from "../../src/gateway/quarantine/heldRequestsApi.js";
-import { createPromptHeaders, GatewayFixture, waitUntil, type CallerAnswer } from "./gatewayFixture.js";
+import { createPromptHeaders, GatewayFixture, waitUntil, type CallerResponse } from "./gatewayFixture.js";
 
 const fixture = { current: new GatewayFixture() };
 const fatalBody = "ends whoever runs it";
@@ -23,11 +23,11 @@
         await fixture.current.addRouter();
     }
     await waitUntil(() =>
-        fixture.current.routers.every(({ daemon }) => daemon.knownRouters === fixture.current.routers.length),
+        fixture.current.routers.every(({ daemon }) => daemon.knownRouterCount === fixture.current.routers.length),
     );
 }
 
-async function sendFatal(id: string, router: number, path = "/plan/x"): Promise<CallerAnswer> {
+async function sendFatal(id: string, router: number, path = "/plan/x"): Promise<CallerResponse> {
     const headers = createPromptHeaders(id);
     const answer = await fixture.current.send({ path, headers, body: fatalBody }, router);
     await new Promise(resolve => setTimeout(resolve, settleMs));
@@ -152,11 +152,11 @@
         const target = await fixture.current.addTarget("engines", "engine-1");
         await fixture.current.addRouter();
         target.scripts.push("break-off", "break-off", "break-off", "break-off");
-        const answers: CallerAnswer[] = [];
+        const answers: CallerResponse[] = [];
         for (let index = 0; index < 5; index++) {
             const headers = createPromptHeaders(`reset-${index}`);
             answers.push(await fixture.current.send({ path: "/once/x", headers, body: "same" }));
         }
-        expect(answers.map(({ isBroken }) => isBroken)).toEqual([true, true, true, true, false]);
+        expect(answers.map(({ isIncomplete: isBroken }) => isBroken)).toEqual([true, true, true, true, false]);
     });
 });
--- a/test/gateway/callersWhoLeft.test.ts
+++ b/test/gateway/disconnectedCallers.test.ts
@@ -35,9 +35,9 @@
     const server = createServer((request, response) => {
         const caller = new CallerExchange(request, response);
         void caller
-            .readBody({ maxBytes: 2 * bodyBytes, hasRoom: () => true })
-            .then(() => caller.waitForClose())
-            .then(() => disconnectedFlags.push(caller.hasLeft));
+            .readBody({ maxBytes: 2 * bodyBytes, hasCapacity: () => true })
+            .then(() => caller.waitForPendingClose())
+            .then(() => disconnectedFlags.push(caller.isDisconnected));
     });
     fixture.server = server;
     await new Promise<void>(resolve => server.listen(0, "127.0.0.1", () => resolve()));
--- a/test/gateway/endlessAnswers.test.ts
+++ b/test/gateway/endlessResponses.test.ts
@@ -32,8 +32,8 @@
     const response = await fixture.current.send({ path, headers: createPromptHeaders(id), body: "b" });
     return {
         status: response.status,
-        isBroken: response.isBroken,
-        isSound: response.status === 200 && !response.isBroken,
+        isBroken: response.isIncomplete,
+        isSound: response.status === 200 && !response.isIncomplete,
     };
 }
 
@@ -81,7 +81,7 @@
         const pendingResponse = fixture.current.send({ path: "/plan/", headers: createPromptHeaders("a1"), body: "b" });
         await waitUntil(() => server.requests === 1);
         await fixture.current.addTarget("engines", "engine-1");
-        const { status, isBroken, body } = await pendingResponse;
+        const { status, isIncomplete: isBroken, body } = await pendingResponse;
         expect({ status, isBroken, events: body.split("\n\n").length - 1 }).toEqual({
             status: 200,
             isBroken: false,
--- a/test/gateway/endlessSources.test.ts
+++ b/test/gateway/endlessSources.test.ts
@@ -3,7 +3,7 @@
 import { SystemClock } from "../../src/base/clock.js";
 import { CancellationTokenSource } from "../../src/base/cancellation.js";
 import { EngineLists } from "../../platform/engineLists.js";
-import { fetchSnapshot } from "../../src/gateway/peers/handoverApi.js";
+import { fetchSnapshot } from "../../src/gateway/peers/snapshotApi.js";
 import { StoreClient } from "../../platform/storeClient.js";
 
 const filler = Buffer.alloc(16_384, "x");
@@ -64,7 +64,7 @@
 
 it("an engine's list without end is a failed call", async () => {
     const engines = new EngineLists(new SystemClock());
-    const list = await engines.listHeldParts(getAddress(), new CancellationTokenSource().token);
+    const list = await engines.listCachedParts(getAddress(), new CancellationTokenSource().token);
     await waitForClose();
     engines.dispose();
     expect(list.isErr()).toBe(true);
--- a/test/gateway/eventSplitter.property.test.ts
+++ b/test/gateway/eventSplitter.property.test.ts
@@ -38,7 +38,7 @@
                     ]);
                     expect(received.map(event => event.bytes.toString()).join("")).toBe(complete);
                     expect(received.map(event => event.id)).toEqual(events.map(event => event.id));
-                    expect(splitter.hasRest).toBe(fragment.length > 0);
+                    expect(splitter.hasFragment).toBe(fragment.length > 0);
                 },
             ),
             { seed, numRuns: 300 },
--- a/test/gateway/gatewayFixture.ts
+++ b/test/gateway/gatewayFixture.ts
@@ -16,16 +16,16 @@
 import { TargetServer } from "../fakes/usersPlatform/targetServer.js";
 
 /** A response as its caller received it. */
-export interface CallerAnswer {
+export interface CallerResponse {
     readonly status: number;
     readonly headers: IncomingHttpHeaders;
     readonly body: string;
     /** The connection was closed before the end of the response. */
-    readonly isBroken: boolean;
+    readonly isIncomplete: boolean;
 }
 
 /** A caller's request. */
-export interface CallerCall {
+export interface CallerRequest {
     readonly path: string;
     readonly method?: string;
     readonly headers?: Readonly<Record<string, string>>;
@@ -33,7 +33,7 @@
     /** Sends the body with chunked transfer encoding, without a content length. */
     readonly isChunked?: boolean;
     /** Closes the connection after this time; milliseconds. */
-    readonly leaveAfterMs?: number;
+    readonly disconnectAfterMs?: number;
     /** Keeps connections between requests; without it each request has its own connection. */
     readonly agent?: Agent;
 }
@@ -184,7 +184,7 @@
     }
 
     /** Sends a caller's request to a router; by default the first one. */
-    public send(call: CallerCall, router = 0): Promise<CallerAnswer> {
+    public send(call: CallerRequest, router = 0): Promise<CallerResponse> {
         const [address, port] = this.routers[router].settings.callers.split(":");
         return new Promise((resolve, reject) => {
             const request = sendHttp(
@@ -210,7 +210,7 @@
                             status: response.statusCode ?? 0,
                             headers: response.headers,
                             body: Buffer.concat(chunks).toString(),
-                            isBroken: !response.complete,
+                            isIncomplete: !response.complete,
                         }),
                     );
                 },
@@ -222,8 +222,8 @@
             } else {
                 request.end(call.body);
             }
-            if (call.leaveAfterMs !== undefined) {
-                setTimeout(() => request.destroy(new Error("disconnected")), call.leaveAfterMs);
+            if (call.disconnectAfterMs !== undefined) {
+                setTimeout(() => request.destroy(new Error("disconnected")), call.disconnectAfterMs);
             }
         });
     }
--- a/test/gateway/gatewayMetrics.test.ts
+++ b/test/gateway/gatewayMetrics.test.ts
@@ -1,10 +1,10 @@
 import { describe, expect, it } from "vitest";
-import { AccountFigures } from "../../src/gateway/accountFigures.js";
+import { AccountStatistics } from "../../src/gateway/accountStatistics.js";
 import { GatewayMetrics } from "../../src/gateway/gatewayMetrics.js";
 
 const use = { share: 0.5, surplus: 1.25, sumsAgeMs: 0 };
 
-function createMetrics(figures: AccountFigures): GatewayMetrics {
+function createMetrics(figures: AccountStatistics): GatewayMetrics {
     return new GatewayMetrics(() => ({
         openRequests: 0,
         configurationVersion: 1,
@@ -22,12 +22,12 @@
             figures.listAll().map(([account, counts]) => ({
                 account,
                 counts,
-                computeUse: () => (account === "other" ? undefined : use),
+                computeUsage: () => (account === "other" ? undefined : use),
             })),
     }));
 }
 
-function recordRequest(figures: AccountFigures, account: string, askedTokens: number, isServed: boolean): void {
+function recordRequest(figures: AccountStatistics, account: string, askedTokens: number, isServed: boolean): void {
     const request = figures.createRequest(account, askedTokens);
     request.record("read");
     if (isServed) {
@@ -42,7 +42,7 @@
     );
 }
 
-async function listLines(figures: AccountFigures, name: string): Promise<readonly string[]> {
+async function listLines(figures: AccountStatistics, name: string): Promise<readonly string[]> {
     const metrics = createMetrics(figures);
     await metrics.render();
     const text = await metrics.render();
@@ -52,7 +52,7 @@
 describe("tokens by account", () => {
     // A client account complains that it got far less than another one. Refusals by reason don't tell who asked for how much.
     it("tell what each asked for and got", async () => {
-        const figures = new AccountFigures();
+        const figures = new AccountStatistics();
         recordRequest(figures, "first", 900, true);
         recordRequest(figures, "first", 600, false);
         recordRequest(figures, "second", 100, false);
@@ -81,7 +81,7 @@
     });
 
     it("are counted together beyond a number of accounts", async () => {
-        const figures = new AccountFigures();
+        const figures = new AccountStatistics();
         for (let index = 0; index < 150; index++) {
             recordRequest(figures, `a${index}`, 10, false);
         }
@@ -92,7 +92,7 @@
     });
 
     it("stand beside how the router keeps up", async () => {
-        const figures = new AccountFigures();
+        const figures = new AccountStatistics();
         const names = ["lynxarch_shed_share", "lynxarch_loop_utilization", "lynxarch_loop_delay_seconds"];
         expect((await Promise.all(names.map(name => listLines(figures, name)))).flat()).toMatchInlineSnapshot(`
           [
@@ -108,8 +108,8 @@
     // A target that has left goes on getting requests, and nothing tells whether its record was read late or kept.
     it("tells its age and how reads ended", async () => {
         const lines = [
-            ...(await listLines(new AccountFigures(), "lynxarch_targets_view")),
-            ...(await listLines(new AccountFigures(), "lynxarch_store_reads")),
+            ...(await listLines(new AccountStatistics(), "lynxarch_targets_view")),
+            ...(await listLines(new AccountStatistics(), "lynxarch_store_reads")),
         ];
         expect(lines).toMatchInlineSnapshot(`
           [
@@ -130,14 +130,14 @@
             { outcome: "timeout", reason: "" },
             { outcome: "answered", reason: "", timeliness: "in-time" },
         ] as const;
-        const figures = new AccountFigures();
+        const figures = new AccountStatistics();
         for (const [index, end] of ends.entries()) {
             const request = figures.createRequest(`a${index}`, 1);
             request.record("read");
             request.recordEnd(end);
         }
         figures.createRequest("a6", 1).recordEnd({ outcome: "left", reason: "" });
-        const stages = figures.listAll().map(([, counts]) => counts.listReached().join(" "));
+        const stages = figures.listAll().map(([, counts]) => counts.listReachedStages().join(" "));
         expect(stages).toMatchInlineSnapshot(`
           [
             "read shed",
--- a/test/gateway/grants/grantClient.test.ts
+++ b/test/gateway/grants/grantClient.test.ts
@@ -2,14 +2,14 @@
 import { ManualClock } from "../../../src/base/clock.js";
 import { SeededRandom } from "../../../src/base/random.js";
 import { TargetOwners } from "../../../src/decisions/placement/targetOwners.js";
-import { ReadingShare } from "../../../src/decisions/admission/readingShare.js";
+import { PrefillShare } from "../../../src/decisions/admission/prefillShare.js";
 import { FirstTokenModel } from "../../../src/decisions/placement/firstTokenModel.js";
 import { NoopLogger } from "../../../src/base/log.js";
 import { GrantClient, type GrantDemand, type GrantOutcome } from "../../../src/gateway/grants/grantClient.js";
 import type { GrantMessage } from "../../../src/gateway/grants/grantMessage.js";
 import { GrantOwner } from "../../../src/gateway/grants/grantOwner.js";
-import { Registry } from "../../../src/gateway/registry.js";
-import { NoLapses } from "../../../src/decisions/health/lapsePolicy.js";
+import { LazyMap } from "../../../src/gateway/lazyMap.js";
+import { NoExpiryGrace } from "../../../src/decisions/health/recordExpiryPolicy.js";
 import { TargetDirectory } from "../../../src/gateway/targetDirectory.js";
 
 const ownId = "router-1";
@@ -29,7 +29,7 @@
         random: new SeededRandom(1),
         logger: new NoopLogger(),
         connectionLimits: { connectTimeoutMs: 1, mostAnswerBytes: 1 },
-        lapses: new NoLapses(),
+        expiryPolicy: new NoExpiryGrace(),
     });
     directory.applyChange({
         kind: "target",
@@ -53,11 +53,11 @@
         ownId,
         incarnation: 1,
         owners: new TargetOwners(() => [ownerId]),
-        ownBooks: new GrantOwner({
+        localOwner: new GrantOwner({
             directory,
             clock,
-            firstTokenModels: new Registry(() => new FirstTokenModel()),
-            readingShares: new Registry(() => new ReadingShare()),
+            firstTokenModels: new LazyMap(() => new FirstTokenModel()),
+            prefillShares: new LazyMap(() => new PrefillShare()),
         }),
         transport: { send: (...[, message]) => sent.push(message) > 0 },
         clock,
@@ -70,7 +70,7 @@
         target: directory.find("engine")!,
         head: {
             requestId: "r",
-            timeLeftMs: 1_000,
+            remainingMs: 1_000,
             apiKey: undefined,
             promptTokens: 100,
             maxOutputTokens: 10,
@@ -81,8 +81,8 @@
         outputTokens: 10,
         account: "north",
         chargedTokens: 120,
-        bounds: { mostWaitMs: 100, mostUse: 1 },
-        spanMs: 400,
+        bounds: { maxWaitMs: 100, maxUsage: 1 },
+        windowMs: 400,
     };
     return { client, demand, sent, outcomes, fireTimers: () => timers.splice(0).forEach(action => action()) };
 }
@@ -92,9 +92,9 @@
     isKnown: true,
     granted: true,
     newTokens: 100,
-    aheadTokens: 0,
-    use: 0.1,
-    mostUse: 1,
+    queuedTokens: 0,
+    usage: 0.1,
+    maxUsage: 1,
     retryAfterMs: 0,
 };
 
--- a/test/gateway/grants/grantOwner.test.ts
+++ b/test/gateway/grants/grantOwner.test.ts
@@ -3,12 +3,12 @@
 import { hashFast } from "../../../src/base/hash.js";
 import { NoopLogger } from "../../../src/base/log.js";
 import { SeededRandom } from "../../../src/base/random.js";
-import { ReadingShare } from "../../../src/decisions/admission/readingShare.js";
+import { PrefillShare } from "../../../src/decisions/admission/prefillShare.js";
 import { FirstTokenModel } from "../../../src/decisions/placement/firstTokenModel.js";
 import type { GrantRequest } from "../../../src/gateway/grants/grantMessage.js";
 import { GrantOwner } from "../../../src/gateway/grants/grantOwner.js";
-import { Registry } from "../../../src/gateway/registry.js";
-import { NoLapses } from "../../../src/decisions/health/lapsePolicy.js";
+import { LazyMap } from "../../../src/gateway/lazyMap.js";
+import { NoExpiryGrace } from "../../../src/decisions/health/recordExpiryPolicy.js";
 import { TargetDirectory } from "../../../src/gateway/targetDirectory.js";
 
 const id = "engine";
@@ -24,10 +24,10 @@
     outputTokens: 10,
     accountHash: 0,
     chargedTokens: 120,
-    mostWaitMs: 100,
-    mostUse: 1,
-    spanMs: 400,
-    isBinding: false,
+    maxWaitMs: 100,
+    maxUsage: 1,
+    windowMs: 400,
+    isUnconditional: false,
 };
 
 // The owner of an engine knows that it is leaving, and the asking router does not yet.
@@ -38,7 +38,7 @@
         random: new SeededRandom(1),
         logger: new NoopLogger(),
         connectionLimits: { connectTimeoutMs: 1, mostAnswerBytes: 1 },
-        lapses: new NoLapses(),
+        expiryPolicy: new NoExpiryGrace(),
     });
     const entry = {
         id,
@@ -50,9 +50,9 @@
         version: "v1",
     };
     directory.applyChange({ kind: "target", id, entry: { ...entry, state: "ready", startedAtMs } });
-    const firstTokenModels = new Registry(() => new FirstTokenModel());
-    const readingShares = new Registry(() => new ReadingShare());
-    const owner = new GrantOwner({ directory, clock, firstTokenModels, readingShares });
+    const firstTokenModels = new LazyMap(() => new FirstTokenModel());
+    const readingShares = new LazyMap(() => new PrefillShare());
+    const owner = new GrantOwner({ directory, clock, firstTokenModels, prefillShares: readingShares });
     const before = owner.check("router-2", request);
     directory.applyLeaving([{ targetHash: hashFast(id), startedAtMs }]);
     const after = owner.check("router-2", { ...request, grantId: 2 });
--- a/test/gateway/leavingTargets.test.ts
+++ b/test/gateway/leavingTargets.test.ts
@@ -158,11 +158,11 @@
         fixture.current.store.condition = "up";
         await fixture.current.addRouter();
         fixture.current.store.condition = "silent";
-        await waitUntil(() => fixture.current.routers.every(({ daemon }) => daemon.knownRouters === 2));
+        await waitUntil(() => fixture.current.routers.every(({ daemon }) => daemon.knownRouterCount === 2));
         await sendPrompts("before", 0);
         await sleep(drainMs);
         await fixture.current.addRouter();
-        await waitUntil(() => fixture.current.routers.every(({ daemon }) => daemon.knownRouters === 3));
+        await waitUntil(() => fixture.current.routers.every(({ daemon }) => daemon.knownRouterCount === 3));
         await sleep(drainMs);
         leaving.received.length = 0;
         await sendPrompts("second", 1);
--- a/test/gateway/pausingTargets.test.ts
+++ b/test/gateway/pausingTargets.test.ts
@@ -1,5 +1,5 @@
 import { afterEach, beforeEach, describe, expect, it } from "vitest";
-import { createPromptHeaders, GatewayFixture, waitUntil, type CallerAnswer } from "./gatewayFixture.js";
+import { createPromptHeaders, GatewayFixture, waitUntil, type CallerResponse } from "./gatewayFixture.js";
 
 const fixture = { current: new GatewayFixture() };
 /** What the target asks for, in seconds and milliseconds. */
@@ -13,7 +13,7 @@
 
 afterEach(() => fixture.current.dispose());
 
-function send(id: string): Promise<CallerAnswer> {
+function send(id: string): Promise<CallerResponse> {
     return fixture.current.send({ path: "/plan/x", headers: createPromptHeaders(id) });
 }
 
--- a/test/gateway/peers/accountAggregation.test.ts
+++ b/test/gateway/peers/accountAggregation.test.ts
@@ -36,10 +36,10 @@
 
     /** What a router knows of the others' use of one account. */
     public describeOthers(routerId: string): string {
-        const others = this.routers.get(routerId)?.findOthers();
+        const others = this.routers.get(routerId)?.findOtherRouters();
         return others === undefined
             ? "none"
-            : `${others.use.accounts.get("north")?.served ?? 0} at ${others.routerHashes.size} routers`;
+            : `${others.totals.accounts.get("north")?.served ?? 0} at ${others.routerHashes.size} routers`;
     }
 
     public startAgain(routerId: string): void {
--- a/test/gateway/peers/peerDirectory.test.ts
+++ b/test/gateway/peers/peerDirectory.test.ts
@@ -58,7 +58,7 @@
         clock.advance(300);
         directory.apply(createMessage({ routerId: "router-3" }));
         clock.advance(50);
-        expect(directory.accountUses.map(router => router.ageMs)).toEqual([350, 50]);
+        expect(directory.accountReports.map(router => router.ageMs)).toEqual([350, 50]);
     });
 
     // Datagrams overtake each other, and a router that was restarted begins to count anew.
@@ -112,9 +112,9 @@
         const directory = new PeerDirectory(own, [], clock);
         directory.apply(createMessage({ periodMs: 2_000 }));
         clock.advance(6_000);
-        const after3 = directory.accountUses.length;
+        const after3 = directory.accountReports.length;
         clock.advance(3_000);
-        expect([after3, directory.accountUses.length]).toEqual([1, 0]);
+        expect([after3, directory.accountReports.length]).toEqual([1, 0]);
     });
 
     // Read with each request, the lists are kept between changes. One that outlived a change would name routers that are gone.
@@ -124,7 +124,7 @@
         const describeAll = (): string => {
             const { routerIds, unheard, isSettled } = directory.routers;
             const utilizations = [...directory.conditions].map(([id, { utilization }]) => `${id} at ${utilization}`);
-            const uses = directory.accountUses.map(({ accounts, ageMs }) => `${accounts.size} of ${ageMs} ms`);
+            const uses = directory.accountReports.map(({ accounts, ageMs }) => `${accounts.size} of ${ageMs} ms`);
             return [routerIds.join(" "), unheard, isSettled, ...utilizations, ...uses].join(", ");
         };
         const condition = { dataCentre: "dc-a", processorShare: 1, utilization: 0.75, isWithdrawn: false };
--- a/test/gateway/peers/peerState.test.ts
+++ b/test/gateway/peers/peerState.test.ts
@@ -16,8 +16,8 @@
         listOwnAccounts: () => ({ coveredMs: 0, accounts: new Map() }),
         listLeaving: () => leaving,
         getCondition: () => ({ dataCentre: "dc-a", processorShare: 1, utilization: 0, isWithdrawn: false }),
-        onDidSumLoads: () => undefined,
-        onDidReceive: () => undefined,
+        onDidUpdatePeerLoads: () => undefined,
+        onDidReceiveMessage: () => undefined,
     });
     const named = Array.from({ length: rounds }, () => state.createMessage().leaving.map(entry => entry.targetHash));
     expect(named.map(({ length }) => length)).toEqual([100, 100, 100]);
--- a/test/gateway/answerTiming.test.ts
+++ b/test/gateway/responseTiming.test.ts
@@ -1,12 +1,12 @@
 import { describe, expect, it } from "vitest";
-import { AnswerTiming } from "../../src/gateway/answerTiming.js";
+import { ResponseTiming } from "../../src/gateway/responseTiming.js";
 
 describe("the timing of a response", () => {
     const route = { kind: "stream", objectiveMs: 800, pauseObjectiveMs: 400 } as const;
 
     /** Measurements of a response whose outputs are sent at these times after the request. */
     function describeTiming(atMs: readonly number[]): unknown {
-        const timing = new AnswerTiming(route, 1_000);
+        const timing = new ResponseTiming(route, 1_000);
         atMs.forEach(time => timing.recordOutput(1_000 + time));
         const { firstOutputMs, longestPauseMs, timeliness } = timing;
         return [firstOutputMs, longestPauseMs, timeliness];
--- a/test/gateway/answers.test.ts
+++ b/test/gateway/responses.test.ts
@@ -1,6 +1,6 @@
 import { afterEach, beforeEach, describe, expect, it } from "vitest";
 import type { TargetServer } from "../fakes/usersPlatform/targetServer.js";
-import { createPromptHeaders, GatewayFixture, waitUntil, type CallerAnswer } from "./gatewayFixture.js";
+import { createPromptHeaders, GatewayFixture, waitUntil, type CallerResponse } from "./gatewayFixture.js";
 
 const fixture = { current: new GatewayFixture() };
 
@@ -12,8 +12,8 @@
 afterEach(() => fixture.current.dispose());
 
 /** The parts of a response that the tests compare. */
-function describeResponse(response: CallerAnswer): object {
-    const { status, isBroken, body } = response;
+function describeResponse(response: CallerResponse): object {
+    const { status, isIncomplete: isBroken, body } = response;
     const isFromRouter = response.headers["content-type"] === "application/problem+json";
     return {
         status,
@@ -217,7 +217,7 @@
         const target = await startPlain();
         target.usual = "hang";
         const headers = { "x-lynxarch-attempt-id": "a1" };
-        await expect(fixture.current.send({ path: "/book/x", headers, leaveAfterMs: 100 })).rejects.toThrow(
+        await expect(fixture.current.send({ path: "/book/x", headers, disconnectAfterMs: 100 })).rejects.toThrow(
             "disconnected",
         );
         await waitUntil(() => target.received[0]?.isAborted);
@@ -268,7 +268,7 @@
             preferred.scripts.push(script);
             const response = await fixture.current.send({ path: "/plan/x", headers: createPromptHeaders("a1") });
             const other = preferred === first ? second : first;
-            expect(response.isBroken).toBe(false);
+            expect(response.isIncomplete).toBe(false);
             expect(response.body.match(/id: \d/g)).toEqual(["id: 1", "id: 2", "id: 3", "id: 4", "id: 5"]);
             expect(other.received.map(request => request.headers["last-event-id"])).toEqual(["2"]);
         },
--- a/test/gateway/sharedConnections.test.ts
+++ b/test/gateway/sharedConnections.test.ts
@@ -3,7 +3,7 @@
 import { afterEach, beforeEach, describe, expect, it } from "vitest";
 import { SystemClock } from "../../src/base/clock.js";
 import { SeededRandom } from "../../src/base/random.js";
-import { ConnectionSharing, type SharedConnections } from "../../src/gateway/connectionSharing.js";
+import { ConnectionSharing, type SharedConnectionCounts } from "../../src/gateway/connectionSharing.js";
 import type { LoadSource } from "../../src/gateway/loadMonitor.js";
 import type { TargetServer } from "../fakes/usersPlatform/targetServer.js";
 import {
@@ -12,13 +12,13 @@
     host,
     idleLoad,
     waitUntil,
-    type CallerAnswer,
-    type CallerCall,
+    type CallerResponse,
+    type CallerRequest,
 } from "./gatewayFixture.js";
 
 const fixture = { current: new GatewayFixture() };
-const noneShared: SharedConnections = { handedOver: 0, received: 0, unreached: 0 };
-let sharedBefore: readonly SharedConnections[] = [];
+const noneShared: SharedConnectionCounts = { handedOver: 0, received: 0, unreached: 0 };
+let sharedBefore: readonly SharedConnectionCounts[] = [];
 const busyLoad: LoadSource = { ...idleLoad, loop: { delayMs: 0, utilization: 0.95 } };
 
 beforeEach(async () => {
@@ -36,7 +36,7 @@
 async function startRouters(neighbourLoad: LoadSource = idleLoad): Promise<void> {
     await fixture.current.addRouter(settings, true, busyLoad);
     await fixture.current.addRouter(settings, true, neighbourLoad);
-    await waitUntil(() => fixture.current.routers.every(({ daemon }) => daemon.knownRouters === 2));
+    await waitUntil(() => fixture.current.routers.every(({ daemon }) => daemon.knownRouterCount === 2));
     await waitUntil(async () => {
         await sendAnew({ path: "/nowhere/", headers: { "x-lynxarch-attempt-id": "a0" } });
         return neighbourLoad === busyLoad || readShared(0).handedOver > 0;
@@ -45,12 +45,12 @@
 }
 
 /** Sends a call on a connection of its own: one that is kept stays where it is. */
-function sendAnew(call: CallerCall): Promise<CallerAnswer> {
+function sendAnew(call: CallerRequest): Promise<CallerResponse> {
     return fixture.current.send({ ...call, agent });
 }
 
 /** What was shared since {@link startRouters}. */
-function readShared(router: number): SharedConnections {
+function readShared(router: number): SharedConnectionCounts {
     const { handedOver, received, unreached } = fixture.current.routers[router].daemon.sharedConnections;
     const before = sharedBefore[router] ?? noneShared;
     return {
@@ -79,7 +79,7 @@
         await fixture.current.addTarget("engines", "engine-1");
         await startRouters();
         const answer = await sendAnew({ path: "/once/", headers: createPromptHeaders("a1"), body: "b" });
-        expect({ events: answer.body.split("\n\n").length - 1, isBroken: answer.isBroken }).toEqual({
+        expect({ events: answer.body.split("\n\n").length - 1, isBroken: answer.isIncomplete }).toEqual({
             events: 5,
             isBroken: false,
         });
@@ -92,7 +92,7 @@
         target.usual = "hang";
         await startRouters();
         const headers = { "x-lynxarch-attempt-id": "a1" };
-        const call = sendAnew({ path: "/find/", headers, leaveAfterMs: 100 }).catch(() => undefined);
+        const call = sendAnew({ path: "/find/", headers, disconnectAfterMs: 100 }).catch(() => undefined);
         await waitUntil(() => target.received.some(({ isAborted }) => isAborted));
         await call;
         expect(readShared(1)).toMatchObject({ received: 1 });
@@ -122,7 +122,7 @@
         await startRouters();
         const headers = { "x-lynxarch-attempt-id": "a1" };
         const outcome = sendAnew({ path: "/book/", headers }).then(
-            ({ isBroken }) => (isBroken ? "broken" : "answered"),
+            ({ isIncomplete: isBroken }) => (isBroken ? "broken" : "answered"),
             () => "closed",
         );
         await waitUntil(() => target.received.length === 1);
@@ -181,7 +181,7 @@
             ip: "127.0.0.1",
             port: 1,
             dataCentre: "a",
-            mostRelayed: 10,
+            maxRelayedConnections: 10,
             peers: {
                 conditions: new Map([["router-2", { ...condition, configurationVersion: version }]]),
                 findAddress: () => "127.0.0.1",
--- a/test/gateway/targetRecords/departures.property.test.ts
+++ b/test/gateway/targetRecords/departures.property.test.ts
@@ -1,7 +1,7 @@
 import fc from "fast-check";
 import { describe, expect, it } from "vitest";
 import type { SimulatedCondition } from "../../fakes/usersPlatform/simulatedStore.js";
-import { RecordsScene } from "./recordsScene.js";
+import { TargetRecordsFixture } from "./targetRecordsFixture.js";
 
 const seed = 43;
 /** More by hand: DEPARTURE_RUNS=2000 npx vitest run test/gateway/targetRecords. */
@@ -88,7 +88,7 @@
 /** Targets that could get requests though the bound on draining was over, by when. */
 async function listBreaches({ disturbances, departures, bounds, seed: random }: Plan): Promise<readonly string[]> {
     const { drainMs, contactMs } = bounds;
-    const scene = new RecordsScene(drainMs, contactMs, random);
+    const scene = new TargetRecordsFixture(drainMs, contactMs, random);
     const schedule = new StoreSchedule(disturbances);
     const breaches = new Set<string>();
     departures.forEach((...[, index]) => scene.writeRecord(`target-${index + 1}`));
@@ -111,7 +111,7 @@
     return [...breaches];
 }
 
-function writeLeaving(scene: RecordsScene, id: string, how: Departure["how"], dropsHistory: boolean): void {
+function writeLeaving(scene: TargetRecordsFixture, id: string, how: Departure["how"], dropsHistory: boolean): void {
     if (how === "removed") {
         scene.removeRecord(id);
     } else {
--- a/test/gateway/targetRecords/departures.test.ts
+++ b/test/gateway/targetRecords/departures.test.ts
@@ -1,8 +1,8 @@
 import { afterEach, beforeEach, describe, expect, it } from "vitest";
 import type { SimulatedCondition } from "../../fakes/usersPlatform/simulatedStore.js";
-import { RecordsScene } from "./recordsScene.js";
+import { TargetRecordsFixture } from "./targetRecordsFixture.js";
 
-const scene = { current: new RecordsScene() };
+const scene = { current: new TargetRecordsFixture() };
 const calmMs = 10_000;
 /** Three heartbeats of silence. */
 const lapseMs = 3_600;
@@ -14,7 +14,7 @@
 
 beforeEach(async () => {
     scene.current.dispose();
-    scene.current = new RecordsScene();
+    scene.current = new TargetRecordsFixture();
     scene.current.start();
     await scene.current.advance(calmMs);
 });
@@ -33,7 +33,7 @@
         const startedAtMs = scene.current.nowMs;
         await leave(id);
         const spentMs = scene.current.nowMs - startedAtMs;
-        worstMs = Math.max(worstMs, spentMs + (await scene.current.measureOpen(id)));
+        worstMs = Math.max(worstMs, spentMs + (await scene.current.measureOpenMs(id)));
     }
     return worstMs;
 }
@@ -131,7 +131,7 @@
             current.writeOrder();
             await setFor("stalled", stallMs);
             await current.advance(calmMs);
-            expect((current.outAtMs ?? Number.POSITIVE_INFINITY) - writtenAtMs).toBeLessThanOrEqual(boundMs);
+            expect((current.evacuatedAtMs ?? Number.POSITIVE_INFINITY) - writtenAtMs).toBeLessThanOrEqual(boundMs);
         }
     });
 });
@@ -147,7 +147,7 @@
         await current.advance(calmMs);
         current.resumeFromCopy(copy);
         setTimeout(() => current.removeRecord("target-1"), lapseMs);
-        expect(await current.measureOpen("target-1")).toBe(0);
+        expect(await current.measureOpenMs("target-1")).toBe(0);
     });
 
     it("gets requests where it is alive and its record stays", async () => {
--- a/test/gateway/targetRecords/recordsScene.ts
+++ b/test/gateway/targetRecords/targetRecordsFixture.ts
@@ -3,8 +3,8 @@
 import { NoopLogger } from "../../../src/base/log.js";
 import { SeededRandom } from "../../../src/base/random.js";
 import { sleepOnTimer } from "../../../src/base/sleep.js";
-import { BoundedLapses } from "../../../src/decisions/health/lapsePolicy.js";
-import { computeRemovalBounds } from "../../../src/gateway/departureBudget.js";
+import { BoundedExpiryGrace } from "../../../src/decisions/health/recordExpiryPolicy.js";
+import { computeRemovalBounds } from "../../../src/gateway/drainBudget.js";
 import { TargetDirectory } from "../../../src/gateway/targetDirectory.js";
 import { StoreFeed } from "../../../platform/storeFeed.js";
 import { SimulatedStore } from "../../fakes/usersPlatform/simulatedStore.js";
@@ -16,7 +16,7 @@
 const heartbeatMs = 70;
 
 /** A router's view of the targets beside a simulated store, on fake timers. */
-export class RecordsScene {
+export class TargetRecordsFixture {
     public readonly store = new SimulatedStore();
     public readonly directory: TargetDirectory;
     private readonly feed: StoreFeed;
@@ -24,7 +24,7 @@
     private writes = 0;
     private heartbeat: NodeJS.Timeout | undefined;
     /** When an order of the operators was last in force. */
-    public outAtMs: number | undefined;
+    public evacuatedAtMs: number | undefined;
 
     public constructor(
         public readonly drainMs = 2_000,
@@ -51,11 +51,14 @@
             random,
             logger,
             connectionLimits: { connectTimeoutMs: 350, mostAnswerBytes: 1_000 },
-            lapses: new BoundedLapses(() => this.feed.health.targets, computeRemovalBounds({ drainMs, contactMs })),
+            expiryPolicy: new BoundedExpiryGrace(
+                () => this.feed.health.targets,
+                computeRemovalBounds({ drainMs, contactMs }),
+            ),
         });
         this.feed.onDidChange(change => {
             this.directory.applyChange(change);
-            this.outAtMs = change.kind === "data-centre" ? this.nowMs : this.outAtMs;
+            this.evacuatedAtMs = change.kind === "data-centre" ? this.nowMs : this.evacuatedAtMs;
         });
         this.store.write("keyed.op", "note", {});
     }
@@ -136,7 +139,7 @@
     }
 
     /** Lets time pass; for how long from now on the target could still get requests, in milliseconds. */
-    public async measureOpen(id: string, spanMs = 8_000): Promise<number> {
+    public async measureOpenMs(id: string, spanMs = 8_000): Promise<number> {
         let lastMs = 0;
         for (let passedMs = 0; passedMs < spanMs;) {
             lastMs = this.isOpen(id) ? passedMs : lastMs;
