--- a/src/gateway/completeResponse.ts
+++ b/src/gateway/completeResponse.ts
@@ -21,9 +21,9 @@
 }
 
 /** Updates the estimates of output lengths and of the prefill share from a complete response. */
-export function observeCompleteResponse(context: GatewayContext, answer: CompleteResponse): void {
-    const { selection, route, charge, timing, relayedEvents: passedEvents } = answer;
-    charge.observeOutput(passedEvents, selection?.service.engine?.tokensPerEvent);
+export function observeCompleteResponse(context: GatewayContext, response: CompleteResponse): void {
+    const { selection, route, charge, timing, relayedEvents } = response;
+    charge.observeOutput(relayedEvents, selection?.service.engine?.tokensPerEvent);
     if (selection?.grant !== undefined) {
         const isLate = timing.longestPauseMs > route.pauseObjectiveMs;
         findPrefillShare(context, selection)?.observe(isLate, selection.grant.usage);
--- a/src/gateway/flowOutcomes.ts
+++ b/src/gateway/flowOutcomes.ts
@@ -68,11 +68,11 @@
         private readonly codec: HeaderCodec,
         private readonly requestId: string | undefined,
         private readonly relay: ResponseRelay,
-        private readonly getFacts: () => FlowDetails,
+        private readonly getDetails: () => FlowDetails,
     ) {}
 
     public createOutcome(outcome: FlowOutcome["outcome"], reason: string, status: number | undefined): FlowOutcome {
-        return { ...this.getFacts(), outcome, reason, status };
+        return { ...this.getDetails(), outcome, reason, status };
     }
 
     /** Refuses a request that was not executed. */
@@ -113,12 +113,12 @@
         outcome: FlowOutcome["outcome"],
         detail: string,
     ): FlowOutcome {
-        const own = createRouterResponse(reason, retryAfterMs);
+        const response = createRouterResponse(reason, retryAfterMs);
         this.caller.answer(
-            own.status,
-            { ...own.headers, ...this.codec.encodeRouterResponse(this.requestId) },
-            own.body,
+            response.status,
+            { ...response.headers, ...this.codec.encodeRouterResponse(this.requestId) },
+            response.body,
         );
-        return this.createOutcome(outcome, detail, own.status);
+        return this.createOutcome(outcome, detail, response.status);
     }
 }
--- a/src/gateway/gatewayService.ts
+++ b/src/gateway/gatewayService.ts
@@ -94,13 +94,13 @@
         const budget = this.context.settings.limits.memoryMb * bytesPerMb * maxBodyMemoryShare;
         let requestBytes = 0;
         // Counts the bytes received, not the content length: a body with chunked transfer encoding announces no length.
-        const hasRoom = (bytes: number): boolean => {
+        const hasCapacity = (bytes: number): boolean => {
             requestBytes += bytes;
             this.bufferedBytes += bytes;
             return this.bufferedBytes <= budget;
         };
         try {
-            const body = await caller.readBody({ maxBytes, hasCapacity: hasRoom });
+            const body = await caller.readBody({ maxBytes, hasCapacity });
             await caller.waitForPendingClose();
             if (caller.isDisconnected) {
                 const end = {
@@ -147,15 +147,15 @@
 
     private async handleRouted(caller: CallerExchange, routed: RouteResult, request: RoutedRequest): Promise<void> {
         const { head, arrivedAtMs, identity } = request;
-        const watch = new RequestGuard(this.context.quarantine, identity);
-        const start = watch.start();
+        const guard = new RequestGuard(this.context.quarantine, identity);
+        const start = guard.start();
         if (start === "held") {
             this.sendRouterResponse(caller, head, routed, "crashes-targets", undefined);
         } else if (start === "busy") {
             const retryAfterMs = Math.min(suspectRetryMs, request.route.objectiveMs * suspectRetryShare);
             this.sendRouterResponse(caller, head, routed, "suspect-runs", retryAfterMs);
         } else {
-            const end = await new RequestFlow(this.context, caller, request, watch).run();
+            const end = await new RequestFlow(this.context, caller, request, guard).run();
             this.fireEnd(head, arrivedAtMs, end, routed);
         }
     }
@@ -206,13 +206,13 @@
         reason: RouterResponseReason,
         retryAfterMs: number | undefined,
     ): void {
-        const own = createRouterResponse(reason, retryAfterMs);
-        const headers = { ...own.headers, ...this.context.codec.encodeRouterResponse(head.requestId) };
+        const response = createRouterResponse(reason, retryAfterMs);
+        const headers = { ...response.headers, ...this.context.codec.encodeRouterResponse(head.requestId) };
         // The unread part of the body would be parsed as the next request on the connection.
         const closes = !caller.request.complete || this.refusesNewRequests;
-        caller.answer(own.status, closes ? { ...headers, connection: "close" } : headers, own.body);
+        caller.answer(response.status, closes ? { ...headers, connection: "close" } : headers, response.body);
         const askedTokens = routed.request === undefined ? undefined : head.promptTokens;
-        const end = { outcome: "refused" as const, reason, status: own.status, askedTokens };
+        const end = { outcome: "refused" as const, reason, status: response.status, askedTokens };
         this.fireEnd(head, routed.arrivedAtMs, end, routed);
     }
 
--- a/src/gateway/requestAdmission.ts
+++ b/src/gateway/requestAdmission.ts
@@ -73,7 +73,7 @@
     /** Shortest time until an engine that denied the request has capacity again; milliseconds. */
     private capacityWaitMs = Number.POSITIVE_INFINITY;
     /** Maximum share of an engine's limit that the asked owners allow the request to use; it depends on the account. */
-    private mostUse = Number.POSITIVE_INFINITY;
+    private maxUsage = Number.POSITIVE_INFINITY;
     private shareUse = zeroUsage;
     private decidedBy: DecisionSource = "none";
 
@@ -129,7 +129,7 @@
                 return;
             }
             target.applyGrantReply(outcome.reply, clock.nowMs());
-            this.mostUse = Math.min(this.mostUse, outcome.reply.maxUsage);
+            this.maxUsage = Math.min(this.maxUsage, outcome.reply.maxUsage);
             this.capacityWaitMs = Math.min(this.capacityWaitMs, outcome.reply.retryAfterMs);
             if (outcome.kind === "granted") {
                 routed.figures.record("granted");
@@ -137,24 +137,24 @@
                 const granted = this.applyReply(selection, outcome.reply);
                 handleOutcome(this.createSelected({ ...granted, grant: outcome.grant }));
             } else {
-                this.checkPrompt(services, this.select(services, this.mostUse) ?? selection, handleOutcome);
+                this.checkPrompt(services, this.select(services, this.maxUsage) ?? selection, handleOutcome);
             }
         });
     }
 
     /** How long the target's owner, or recently asked owners of other targets, deny such requests; milliseconds, 0 if they don't. */
-    private computeDeniedMs({ target, service }: Selection, { maxUsage: mostUse, reason }: PromptBounds): number {
+    private computeDeniedMs({ target, service }: Selection, { maxUsage, reason }: PromptBounds): number {
         const { context, routed } = this.options;
         const nowMs = context.clock.nowMs();
-        const deniedMs = target.computeDeniedMs(mostUse, nowMs);
+        const deniedMs = target.computeDeniedMs(maxUsage, nowMs);
         if (reason !== "over-share" || routed.account === undefined || this.grantRequests > 0) {
             return deniedMs;
         }
         const denials = context.denials.getOrCreate(service.name);
-        return Math.max(deniedMs, denials.computeDeniedMs(routed.account, mostUse, nowMs));
+        return Math.max(deniedMs, denials.computeDeniedMs(routed.account, maxUsage, nowMs));
     }
 
-    private recordDenial({ service }: Selection, { maxUsage: mostUse, reason }: PromptBounds): void {
+    private recordDenial({ service }: Selection, { maxUsage, reason }: PromptBounds): void {
         const { context, routed } = this.options;
         if (reason === "over-share" && routed.account !== undefined && this.grantRequests > 0) {
             const denials = context.denials.getOrCreate(service.name);
@@ -163,7 +163,7 @@
                 accountFraction: context.shares.computeOwnFraction(routed.account),
                 routerCount: context.peers.routers.routerIds.length,
             };
-            denials.record(routed.account, mostUse, this.capacityWaitMs, requester, context.clock.nowMs());
+            denials.record(routed.account, maxUsage, this.capacityWaitMs, requester, context.clock.nowMs());
         }
     }
 
@@ -172,20 +172,20 @@
         this.options.routed.figures.record(`decided-by-${source}`);
     }
 
-    private select(services: readonly string[], mostUse: number): Selection | undefined {
-        const { routed, selector, isExcluded: isLeftOut } = this.options;
-        return selector.select(services, routed.head, routed.route.hasPrompts, isLeftOut, mostUse);
+    private select(services: readonly string[], maxUsage: number): Selection | undefined {
+        const { routed, selector, isExcluded } = this.options;
+        return selector.select(services, routed.head, routed.route.hasPrompts, isExcluded, maxUsage);
     }
 
     /** Decides by this router's own estimates of the target, as its owner did not reply. */
     private checkByEstimates(selection: Selection): AdmissionOutcome {
-        const { context, routed, getRemainingMs: getTimeLeftMs } = this.options;
+        const { context, routed, getRemainingMs } = this.options;
         const admission = checkPromptAdmission({
             expectedMs: selection.expectedMs,
             unloadedMs: selection.unloadedMs,
             objectiveMs: routed.route.objectiveMs,
             pauseObjectiveMs: routed.route.pauseObjectiveMs,
-            remainingMs: getTimeLeftMs(),
+            remainingMs: getRemainingMs(),
             shareUse: this.shareUse,
             idleShare: context.idleShares.getOrCreate(selection.service.name).current,
         });
@@ -194,16 +194,16 @@
             : this.createRefusal(admission.reason, admission.retryAfterMs);
     }
 
-    private computeBounds({ unloadedMs: aloneMs }: Selection): PromptBounds {
-        const { routed, getRemainingMs: getTimeLeftMs } = this.options;
+    private computeBounds({ unloadedMs }: Selection): PromptBounds {
+        const { routed, getRemainingMs } = this.options;
         const bounds = computePromptBounds({
-            unloadedMs: aloneMs,
+            unloadedMs,
             objectiveMs: routed.route.objectiveMs,
             pauseObjectiveMs: routed.route.pauseObjectiveMs,
-            remainingMs: getTimeLeftMs(),
+            remainingMs: getRemainingMs(),
             shareUse: this.shareUse,
         });
-        return { ...bounds, maxUsage: Math.min(bounds.maxUsage, this.mostUse) };
+        return { ...bounds, maxUsage: Math.min(bounds.maxUsage, this.maxUsage) };
     }
 
     private createDemand({ target, fetch }: Selection, bounds: PromptBounds): GrantDemand {
@@ -241,14 +241,14 @@
     }
 
     private createSelected(selection: Selection): AdmissionOutcome {
-        return { selection, details: this.createFacts() };
+        return { selection, details: this.createDetails() };
     }
 
     private createRefusal(reason: RouterResponseReason, retryAfterMs: number): AdmissionOutcome {
-        return { selection: undefined, reason, retryAfterMs, details: this.createFacts() };
+        return { selection: undefined, reason, retryAfterMs, details: this.createDetails() };
     }
 
-    private createFacts(): AdmissionDetails {
+    private createDetails(): AdmissionDetails {
         const { context, routed } = this.options;
         return {
             shareUse: this.shareUse,
--- a/src/gateway/requestFlow.ts
+++ b/src/gateway/requestFlow.ts
@@ -24,9 +24,11 @@
  * idle for longer; the request would fail and could not be sent again.
  */
 const maxIdleIfNotRepeatableMs = 250;
+/** Maximum idle time of a connection for a repeatable request. */
 const maxIdleIfRepeatableMs = 60_000;
 /** Bounds for an attempt that is only reported to the owner, which records it without a check. */
 const uncheckedBounds = { maxWaitMs: 0, maxUsage: 1 };
+/** Maximum number of attempts that ended without execution. */
 const maxNotExecutedAttempts = 4;
 
 /** Processes one request: selects targets, runs the attempts and relays the response. */
@@ -47,7 +49,7 @@
     private sent = 0;
     private notExecuted = 0;
     /** Whether an attempt may have been executed; until then the caller can be told that the request was not executed. */
-    private mayHaveRun = false;
+    private mayHaveBeenExecuted = false;
     /** Error response of the last target, kept while the request is retried. */
     private lastErrorResponse: StoredResponse | undefined;
     private selection: Selection | undefined;
@@ -94,11 +96,11 @@
         this.store.add({ dispose: () => clearTimeout(timer) });
         this.store.add(this.caller.token.onDidCancel(() => this.stop("left")));
         try {
-            const end = await this.runAttempts();
-            if (!this.mayHaveRun && end.outcome === "refused") {
+            const flowOutcome = await this.runAttempts();
+            if (!this.mayHaveBeenExecuted && flowOutcome.outcome === "refused") {
                 this.charge.removeServed();
             }
-            return end;
+            return flowOutcome;
         } finally {
             this.watch.end();
             this.store.dispose();
@@ -120,9 +122,9 @@
             const outcome = await this.runAttempt(selection);
             this.history.push(`${selection.target.id}:${outcome.kind}`);
             await this.watch.observe(outcome, selection.target, this.relay.isCommitted);
-            const end = this.handleOutcome(outcome);
-            if (end !== undefined) {
-                return end;
+            const flowOutcome = this.handleOutcome(outcome);
+            if (flowOutcome !== undefined) {
+                return flowOutcome;
             }
         }
     }
@@ -260,7 +262,7 @@
     private handleOutcome(outcome: AttemptOutcome): FlowOutcome | undefined {
         switch (outcome.kind) {
             case "answered":
-                this.observeAnswer();
+                this.observeResponse();
                 return this.outcomes.createOutcome("answered", "", 200);
             case "not-run":
                 this.notExecuted += 1;
@@ -268,12 +270,12 @@
                 return this.canRetryNotExecuted(outcome.reason) ? undefined : this.endWithoutTarget();
             case "failed":
                 this.sent += 1;
-                this.mayHaveRun = true;
+                this.mayHaveBeenExecuted = true;
                 this.lastErrorResponse = outcome.answer;
                 return this.canRepeat() ? undefined : this.outcomes.sendFailure(outcome.answer);
             case "broken":
                 this.sent += 1;
-                this.mayHaveRun = true;
+                this.mayHaveBeenExecuted = true;
                 this.lastErrorResponse = undefined;
                 return this.canRepeat() ? undefined : this.outcomes.endDisconnected(outcome.detail);
             case "stopped":
@@ -281,7 +283,7 @@
         }
     }
 
-    private observeAnswer(): void {
+    private observeResponse(): void {
         const { selection, charge, timing, relay } = this;
         const { route } = this.routed;
         observeCompleteResponse(this.context, { selection, route, charge, timing, relayedEvents: relay.relayedEvents });
@@ -293,7 +295,7 @@
         }
         if (reason === "silent") {
             this.sent += 1;
-            this.mayHaveRun = true;
+            this.mayHaveBeenExecuted = true;
             this.lastErrorResponse = undefined;
             return this.canRepeat()
                 ? undefined
@@ -315,6 +317,7 @@
         return mayRepeat && this.sent < this.routed.route.maxAttempts && !this.isOutOfTime() && this.takeRetry();
     }
 
+    /** Whether no further attempt may start: the flow was stopped, or its deadline has been reached. */
     private isOutOfTime(): boolean {
         return this.stopReason !== undefined || this.context.clock.nowMs() >= this.deadlineAtMs;
     }
@@ -328,7 +331,7 @@
         if (this.lastErrorResponse !== undefined) {
             return this.outcomes.sendFailure(this.lastErrorResponse);
         }
-        if (this.relay.isCommitted || this.mayHaveRun) {
+        if (this.relay.isCommitted || this.mayHaveBeenExecuted) {
             return this.outcomes.endDisconnected("no other target is available");
         }
         const { reason, retryAfterMs } = this.selector.explainNoTarget(this.selector.orderServices(this.routed.route));
--- a/src/gateway/target.ts
+++ b/src/gateway/target.ts
@@ -23,7 +23,7 @@
 /** The last denial by a target's owner. */
 interface OwnerDenial {
     /** Share of the engine's limit that the denied request was allowed to use; requests that may use more are not denied. */
-    readonly mostUse: number;
+    readonly maxUsage: number;
     readonly untilMs: number;
 }
 
@@ -49,7 +49,7 @@
     public readonly circuit: CircuitBreaker;
     public readonly cold = new ColdLimiter();
     private cacheTokens = 0;
-    private heldParts = new CachedParts(0);
+    private cachedParts = new CachedParts(0);
     private unreportedTokens = 0;
     /** Prompt tokens of this router's requests that wait for their first event. */
     public ownWaitingTokens = 0;
@@ -128,34 +128,34 @@
      * Updates the owner's report: the tokens queued at that time have been prefilled at the given speed since. While the owner denies
      * such requests, the time until the target has capacity counts as a queue.
      */
-    public updateWaitingTokens(tokensPerMs: number, mostUse: number, nowMs: number): void {
+    public updateWaitingTokens(tokensPerMs: number, maxUsage: number, nowMs: number): void {
         const { ownerReport } = this;
         const waitingTokens =
             ownerReport === undefined ? 0 : ownerReport.aheadTokens - (nowMs - ownerReport.atMs) * tokensPerMs;
         this.ownerReportedTokens = Math.max(
             0,
             waitingTokens,
-            this.computeDeniedMs(mostUse, nowMs) *
+            this.computeDeniedMs(maxUsage, nowMs) *
                 tokensPerMs *
-                (mostUse > 1 ? denialWaitWeightWithinShare : denialWaitWeight),
+                (maxUsage > 1 ? denialWaitWeightWithinShare : denialWaitWeight),
         );
     }
 
     /** Applies a reply of the target's owner. */
     public applyGrantReply(reply: GrantReply, nowMs: number): void {
-        const { maxUsage: mostUse } = reply;
+        const { maxUsage } = reply;
         const granted = reply.granted ? reply.newTokens : 0;
         this.ownerReport = { aheadTokens: reply.queuedTokens + granted, atMs: nowMs };
-        const replacesDenial = mostUse >= (this.denial?.mostUse ?? 0) || nowMs >= (this.denial?.untilMs ?? 0);
+        const replacesDenial = maxUsage >= (this.denial?.maxUsage ?? 0) || nowMs >= (this.denial?.untilMs ?? 0);
         if (!reply.granted && replacesDenial) {
-            this.denial = { mostUse, untilMs: nowMs + reply.retryAfterMs };
+            this.denial = { maxUsage, untilMs: nowMs + reply.retryAfterMs };
         }
     }
 
     /** How long the target's owner will still deny such requests; milliseconds, 0 if it does not deny them. */
-    public computeDeniedMs(mostUse: number, nowMs: number): number {
+    public computeDeniedMs(maxUsage: number, nowMs: number): number {
         const { denial } = this;
-        return denial === undefined || mostUse > denial.mostUse ? 0 : Math.max(0, denial.untilMs - nowMs);
+        return denial === undefined || maxUsage > denial.maxUsage ? 0 : Math.max(0, denial.untilMs - nowMs);
     }
 
     public get running(): number {
@@ -167,28 +167,28 @@
         const cacheTokens = service?.engine?.cacheTokens ?? 0;
         if (cacheTokens !== this.cacheTokens) {
             this.cacheTokens = cacheTokens;
-            this.heldParts = new CachedParts(cacheTokens);
+            this.cachedParts = new CachedParts(cacheTokens);
         }
     }
 
     public hasPart(partId: string): boolean {
-        return this.heldParts.has(partId);
+        return this.cachedParts.has(partId);
     }
 
     /** Records that a request of any router uses a part, which the engine then caches; true if this must be reported to peers. */
     public recordPart(partId: string, tokens: number): boolean {
-        return this.heldParts.recordUse(partId, tokens);
+        return this.cachedParts.recordUse(partId, tokens);
     }
 
     /** Records tokens that a request of this router writes to the engine's cache. */
     public recordOwnWrittenTokens(tokens: number): void {
         this.unreportedTokens += tokens;
-        this.heldParts.recordWritten(tokens);
+        this.cachedParts.recordWritten(tokens);
     }
 
     /** Records tokens that requests of other routers write to the engine's cache. */
     public recordPeerWrittenTokens(tokens: number): void {
-        this.heldParts.recordWritten(tokens);
+        this.cachedParts.recordWritten(tokens);
     }
 
     /** Returns the tokens written by this router's requests since the last call. */
@@ -203,12 +203,12 @@
     }
 
     public removePart(partId: string): void {
-        this.heldParts.remove(partId);
+        this.cachedParts.remove(partId);
     }
 
     /** Clears the estimate of cached parts, as the engine has restarted. */
     public clearParts(): void {
-        this.heldParts.clear();
+        this.cachedParts.clear();
     }
 
     public observeServiceTime(ms: number): void {
--- a/src/gateway/targetSelector.ts
+++ b/src/gateway/targetSelector.ts
@@ -67,7 +67,7 @@
     }
 
     /**
-     * Selects the best target of the first service with an available target; undefined if there is none. `mostUse`: share of an
+     * Selects the best target of the first service with an available target; undefined if there is none. `maxUsage`: share of an
      * engine's limit that the request may use.
      */
     public select(
@@ -75,7 +75,7 @@
         head: RequestHead,
         hasPrompts: boolean,
         isExcluded: TargetFilter,
-        mostUse = 1,
+        maxUsage = 1,
     ): Selection | undefined {
         for (const name of services) {
             const service = this.context.directory.findService(name);
@@ -83,7 +83,7 @@
             if (service !== undefined && candidates.length > 0) {
                 const isModel = hasPrompts && service.engine !== undefined;
                 return isModel
-                    ? this.selectForPrompt(service, candidates, head, mostUse)
+                    ? this.selectForPrompt(service, candidates, head, maxUsage)
                     : this.selectPlain(service, candidates);
             }
         }
@@ -142,7 +142,7 @@
         service: ServiceConfiguration,
         candidates: readonly Target[],
         head: RequestHead,
-        mostUse: number,
+        maxUsage: number,
     ): Selection | undefined {
         const model = this.context.firstTokenModels.getOrCreate(service.name);
         const request = {
@@ -156,7 +156,7 @@
         const shared = head.promptParts.slice(0, -1);
         const preferred = findPreferredTarget(candidates, shared[shared.length - 1]?.id);
         const compared = pickCandidates(candidates, preferred, shared, this.context.random);
-        compared.forEach(target => target.updateWaitingTokens(model.tokensPerMs, mostUse, nowMs));
+        compared.forEach(target => target.updateWaitingTokens(model.tokensPerMs, maxUsage, nowMs));
         const idle = compared.reduce((count, target) => count + (target.waitingTokens === 0 ? 1 : 0), 0);
         this.context.idleShares.getOrCreate(service.name).observe(idle, compared.length, nowMs);
         const placement = choosePromptPlacement(compared, request, this.listSources(service), preferred);
--- a/test/gateway/endlessResponses.test.ts
+++ b/test/gateway/endlessResponses.test.ts
@@ -32,7 +32,7 @@
     const response = await fixture.current.send({ path, headers: createPromptHeaders(id), body: "b" });
     return {
         status: response.status,
-        isBroken: response.isIncomplete,
+        isIncomplete: response.isIncomplete,
         isSound: response.status === 200 && !response.isIncomplete,
     };
 }
@@ -81,10 +81,10 @@
         const pendingResponse = fixture.current.send({ path: "/plan/", headers: createPromptHeaders("a1"), body: "b" });
         await waitUntil(() => server.requests === 1);
         await fixture.current.addTarget("engines", "engine-1");
-        const { status, isIncomplete: isBroken, body } = await pendingResponse;
-        expect({ status, isBroken, events: body.split("\n\n").length - 1 }).toEqual({
+        const { status, isIncomplete, body } = await pendingResponse;
+        expect({ status, isIncomplete, events: body.split("\n\n").length - 1 }).toEqual({
             status: 200,
-            isBroken: false,
+            isIncomplete: false,
             events: 5,
         });
     });
@@ -99,7 +99,7 @@
         const calls = indexes.map(index => describeCall("/once/", `e${index}`));
         const others = indexes.map(index => describeCall("/book/", `b${index}`));
         expect(new Set((await Promise.all(others)).map(other => JSON.stringify(other)))).toEqual(
-            new Set([JSON.stringify({ status: 200, isBroken: false, isSound: true })]),
+            new Set([JSON.stringify({ status: 200, isIncomplete: false, isSound: true })]),
         );
         await Promise.all(calls);
         await waitUntil(() => endless.every(server => server.openConnections === 0));
--- a/test/gateway/responses.test.ts
+++ b/test/gateway/responses.test.ts
@@ -13,11 +13,11 @@
 
 /** The parts of a response that the tests compare. */
 function describeResponse(response: CallerResponse): object {
-    const { status, isIncomplete: isBroken, body } = response;
+    const { status, isIncomplete, body } = response;
     const isFromRouter = response.headers["content-type"] === "application/problem+json";
     return {
         status,
-        isBroken,
+        isIncomplete,
         body: isFromRouter ? (JSON.parse(body) as { code: string }).code : body,
         signature: response.headers["x-lynxarch-engine-stamp"],
         retryAfter: response.headers["retry-after"] !== undefined,
@@ -47,7 +47,7 @@
         expect(describeResponse(response)).toMatchInlineSnapshot(`
           {
             "body": "answer to a1",
-            "isBroken": false,
+            "isIncomplete": false,
             "retryAfter": false,
             "signature": "stamp.app-1",
             "status": 200,
@@ -88,7 +88,7 @@
             expect(describeResponse(response)).toMatchInlineSnapshot(`
           {
             "body": "target-broke",
-            "isBroken": false,
+            "isIncomplete": false,
             "retryAfter": false,
             "signature": undefined,
             "status": 502,
@@ -104,7 +104,7 @@
         expect(describeResponse(response)).toMatchInlineSnapshot(`
           {
             "body": "answer to a1",
-            "isBroken": false,
+            "isIncomplete": false,
             "retryAfter": false,
             "signature": "s",
             "status": 200,
@@ -122,7 +122,7 @@
         expect(describeResponse(second)).toMatchInlineSnapshot(`
           {
             "body": "target-broke",
-            "isBroken": false,
+            "isIncomplete": false,
             "retryAfter": false,
             "signature": undefined,
             "status": 502,
@@ -139,7 +139,7 @@
         expect(describeResponse(response)).toMatchInlineSnapshot(`
           {
             "body": "target-broke",
-            "isBroken": false,
+            "isIncomplete": false,
             "retryAfter": false,
             "signature": undefined,
             "status": 502,
@@ -173,7 +173,7 @@
         expect(describeResponse(response)).toMatchInlineSnapshot(`
           {
             "body": "no-target",
-            "isBroken": false,
+            "isIncomplete": false,
             "retryAfter": true,
             "signature": undefined,
             "status": 503,
@@ -188,7 +188,7 @@
         expect(describeResponse(response)).toMatchInlineSnapshot(`
           {
             "body": "engine error",
-            "isBroken": false,
+            "isIncomplete": false,
             "retryAfter": false,
             "signature": "stamp.app-1",
             "status": 500,
@@ -204,7 +204,7 @@
         expect(describeResponse(response)).toMatchInlineSnapshot(`
           {
             "body": "timeout",
-            "isBroken": false,
+            "isIncomplete": false,
             "retryAfter": false,
             "signature": undefined,
             "status": 504,
@@ -248,7 +248,7 @@
           data: piece 5
 
           ",
-            "isBroken": false,
+            "isIncomplete": false,
             "retryAfter": false,
             "signature": "stamp.engine-1",
             "status": 200,
@@ -289,7 +289,7 @@
           data: piece 2
 
           ",
-            "isBroken": true,
+            "isIncomplete": true,
             "retryAfter": false,
             "signature": "stamp.engine-1",
             "status": 200,
