--- a/src/gateway/eventStreamRelay.ts
+++ b/src/gateway/eventStreamRelay.ts
@@ -54,7 +54,7 @@
     }
 
     public handleHead(head: TargetResponseHead): boolean {
-        // The caller has already received head and signature of the first attempt; they stay valid when the stream is resumed.
+        // A resumed stream keeps head and signature of the first attempt, which the caller has already received.
         this.head ??= head;
         this.splitter = new EventSplitter();
         return true;
--- a/src/gateway/gatewayService.ts
+++ b/src/gateway/gatewayService.ts
@@ -110,7 +110,7 @@
                 };
                 this.fireEnd(head, arrivedAtMs, end, this.findRoute(caller, head, undefined, arrivedAtMs));
             } else if (body.isOk()) {
-                await this.handleComplete(caller, head, body.value, arrivedAtMs);
+                await this.handleCompleteRequest(caller, head, body.value, arrivedAtMs);
             } else if (body.error !== "left") {
                 const isTooLarge = body.error === "too-large";
                 const retryAfterMs = isTooLarge ? undefined : busyRetryMs;
@@ -125,7 +125,7 @@
         }
     }
 
-    private async handleComplete(
+    private async handleCompleteRequest(
         caller: CallerExchange,
         head: RequestHead,
         body: Buffer | undefined,
@@ -209,8 +209,8 @@
         const response = createRouterResponse(reason, retryAfterMs);
         const headers = { ...response.headers, ...this.context.codec.encodeRouterResponse(head.requestId) };
         // The unread part of the body would be parsed as the next request on the connection.
-        const closes = !caller.request.complete || this.refusesNewRequests;
-        caller.answer(response.status, closes ? { ...headers, connection: "close" } : headers, response.body);
+        const closesConnection = !caller.request.complete || this.refusesNewRequests;
+        caller.answer(response.status, closesConnection ? { ...headers, connection: "close" } : headers, response.body);
         const askedTokens = routed.request === undefined ? undefined : head.promptTokens;
         const end = { outcome: "refused" as const, reason, status: response.status, askedTokens };
         this.fireEnd(head, routed.arrivedAtMs, end, routed);
--- a/src/gateway/inactivityTimer.ts
+++ b/src/gateway/inactivityTimer.ts
@@ -10,11 +10,11 @@
 const plainObjectiveFactor = 1.5;
 
 /** Maximum time without output before a repeatable request is sent to another target; milliseconds. */
-export function computeInactivityLimit(route: RouteConfiguration, hasBegun: boolean): number {
+export function computeInactivityLimit(route: RouteConfiguration, hasStarted: boolean): number {
     if (route.kind !== "stream") {
         return plainObjectiveFactor * route.objectiveMs;
     }
-    return streamObjectiveFactor * (hasBegun ? route.pauseObjectiveMs : route.objectiveMs);
+    return streamObjectiveFactor * (hasStarted ? route.pauseObjectiveMs : route.objectiveMs);
 }
 
 /** Fires when no output was received within a limit. */
--- a/src/gateway/requestAdmission.ts
+++ b/src/gateway/requestAdmission.ts
@@ -221,14 +221,14 @@
     }
 
     /** The selection with the owner's token counts in place of this router's estimates. */
-    private applyReply(selection: Selection, { newTokens, queuedTokens: aheadTokens }: GrantReply): Selection {
+    private applyReply(selection: Selection, { newTokens, queuedTokens }: GrantReply): Selection {
         const model = this.options.context.firstTokenModels.getOrCreate(selection.service.name);
         const fetchMs = selection.fetch?.ms ?? 0;
         return {
             ...selection,
             newTokens,
-            tokensAhead: aheadTokens + newTokens,
-            expectedMs: fetchMs + model.estimateMs(aheadTokens + newTokens),
+            tokensAhead: queuedTokens + newTokens,
+            expectedMs: fetchMs + model.estimateMs(queuedTokens + newTokens),
             unloadedMs: fetchMs + model.estimateMs(newTokens),
         };
     }
--- a/src/gateway/target.ts
+++ b/src/gateway/target.ts
@@ -29,7 +29,7 @@
 
 /** Queue at a target as reported by its owner. */
 interface OwnerReport {
-    readonly aheadTokens: number;
+    readonly queuedTokens: number;
     readonly atMs: number;
 }
 
@@ -125,16 +125,16 @@
     }
 
     /**
-     * Updates the owner's report: the tokens queued at that time have been prefilled at the given speed since. While the owner denies
-     * such requests, the time until the target has capacity counts as a queue.
+     * Projects the owner's report to the current time: tokens queued then have been prefilled at the given speed since. While the owner
+     * denies such requests, the time until the target has capacity counts as a queue.
      */
     public updateWaitingTokens(tokensPerMs: number, maxUsage: number, nowMs: number): void {
         const { ownerReport } = this;
-        const waitingTokens =
-            ownerReport === undefined ? 0 : ownerReport.aheadTokens - (nowMs - ownerReport.atMs) * tokensPerMs;
+        const remainingTokens =
+            ownerReport === undefined ? 0 : ownerReport.queuedTokens - (nowMs - ownerReport.atMs) * tokensPerMs;
         this.ownerReportedTokens = Math.max(
             0,
-            waitingTokens,
+            remainingTokens,
             this.computeDeniedMs(maxUsage, nowMs) *
                 tokensPerMs *
                 (maxUsage > 1 ? denialWaitWeightWithinShare : denialWaitWeight),
@@ -145,7 +145,7 @@
     public applyGrantReply(reply: GrantReply, nowMs: number): void {
         const { maxUsage } = reply;
         const granted = reply.granted ? reply.newTokens : 0;
-        this.ownerReport = { aheadTokens: reply.queuedTokens + granted, atMs: nowMs };
+        this.ownerReport = { queuedTokens: reply.queuedTokens + granted, atMs: nowMs };
         const replacesDenial = maxUsage >= (this.denial?.maxUsage ?? 0) || nowMs >= (this.denial?.untilMs ?? 0);
         if (!reply.granted && replacesDenial) {
             this.denial = { maxUsage, untilMs: nowMs + reply.retryAfterMs };
--- a/src/gateway/targetSelector.ts
+++ b/src/gateway/targetSelector.ts
@@ -203,8 +203,8 @@
         if (chosen === undefined) {
             return undefined;
         }
-        const ahead = Math.max(0, chosen.load - chosen.window + 1);
-        const expectedMs = (ahead * chosen.serviceTimeMs) / Math.max(1, chosen.window);
+        const queuedBefore = Math.max(0, chosen.load - chosen.window + 1);
+        const expectedMs = (queuedBefore * chosen.serviceTimeMs) / Math.max(1, chosen.window);
         return {
             target: chosen.target,
             service,
--- a/src/gateway/targetSend.ts
+++ b/src/gateway/targetSend.ts
@@ -83,7 +83,7 @@
                 this.recordFailure();
                 break;
             case "not-run":
-                this.recordNotRun(outcome.reason);
+                this.recordNotExecuted(outcome.reason);
                 break;
             case "stopped":
                 this.recordStop(outcome.reason);
@@ -116,7 +116,7 @@
         }
     }
 
-    private recordNotRun(reason: NotExecutedReason): void {
+    private recordNotExecuted(reason: NotExecutedReason): void {
         if (reason === "not-sent") {
             this.recordFailure();
             return;
