--- a/src/gateway/gatewayService.ts
+++ b/src/gateway/gatewayService.ts
@@ -206,13 +206,17 @@
         reason: RouterResponseReason,
         retryAfterMs: number | undefined,
     ): void {
-        const response = createRouterResponse(reason, retryAfterMs);
-        const headers = { ...response.headers, ...this.context.codec.encodeRouterResponse(head.requestId) };
+        const routerResponse = createRouterResponse(reason, retryAfterMs);
+        const headers = { ...routerResponse.headers, ...this.context.codec.encodeRouterResponse(head.requestId) };
         // The unread part of the body would be parsed as the next request on the connection.
         const closesConnection = !caller.request.complete || this.refusesNewRequests;
-        caller.answer(response.status, closesConnection ? { ...headers, connection: "close" } : headers, response.body);
+        caller.answer(
+            routerResponse.status,
+            closesConnection ? { ...headers, connection: "close" } : headers,
+            routerResponse.body,
+        );
         const askedTokens = routed.request === undefined ? undefined : head.promptTokens;
-        const end = { outcome: "refused" as const, reason, status: response.status, askedTokens };
+        const end = { outcome: "refused" as const, reason, status: routerResponse.status, askedTokens };
         this.fireEnd(head, routed.arrivedAtMs, end, routed);
     }
 
--- a/src/gateway/requestFlow.ts
+++ b/src/gateway/requestFlow.ts
@@ -24,7 +24,6 @@
  * idle for longer; the request would fail and could not be sent again.
  */
 const maxIdleIfNotRepeatableMs = 250;
-/** Maximum idle time of a connection for a repeatable request. */
 const maxIdleIfRepeatableMs = 60_000;
 /** Bounds for an attempt that is only reported to the owner, which records it without a check. */
 const uncheckedBounds = { maxWaitMs: 0, maxUsage: 1 };
@@ -297,9 +296,7 @@
             this.sent += 1;
             this.mayHaveBeenExecuted = true;
             this.lastErrorResponse = undefined;
-            return this.canRepeat()
-                ? undefined
-                : this.outcomes.endDisconnected("the target sent no output within the inactivity limit");
+            return this.canRepeat() ? undefined : this.outcomes.endDisconnected("inactivity limit exceeded");
         }
         return this.outcomes.endTimedOut();
     }
