--- a/src/gateway/flowOutcomes.ts
+++ b/src/gateway/flowOutcomes.ts
@@ -6,48 +6,48 @@
 import type { Selection } from "./targetSelector.js";
 import type { HeaderCodec } from "./wire.js";
 
-/** Where a request was sent last; undefined: nowhere. */
+/** The last selection of a request; members are undefined if there was none. */
 export interface SelectionDetails {
     readonly target: string | undefined;
-    /** Of the target's software. */
+    /** Version of the target's software. */
     readonly version: string | undefined;
     readonly service: string | undefined;
-    /** Time to the first event that was expected there; milliseconds. */
+    /** Expected time to the first event at the target; milliseconds. */
     readonly expectedMs: number | undefined;
-    /** Prompt tokens that were to be read there up to and with its own. */
+    /** Prompt tokens queued at the target, including those of this request. */
     readonly tokensAhead: number | undefined;
-    /** Prompt tokens of its own that the target was believed to lack, and so had to read. */
+    /** Prompt tokens of this request that were expected not to be cached at the target, so that it had to prefill them. */
     readonly newTokens: number | undefined;
     /** Prompt tokens that the target was to copy from another one. */
     readonly fetchedTokens: number | undefined;
-    /** Part of the target's reading time that its owner had given away with this request; undefined without a grant. */
+    /** Share of the target's prefill time that its owner had granted, including this request; undefined without a grant. */
     readonly engineUse: number | undefined;
 }
 
-/** What is known of a request's way when it ends. */
+/** Details of a request's processing, as logged when it ends. */
 export interface FlowDetails extends AdmissionDetails, SelectionDetails, TimingDetails {
-    /** Targets it was meant for. */
+    /** Number of targets that were tried. */
     readonly attempts: number;
-    /** Targets in the order tried, each with how its attempt ended. */
+    /** Targets in the order of the attempts, each with the kind of its outcome. */
     readonly tried: readonly string[];
-    /** How long the target's record had been gone when the request was sent; undefined: it was there. Milliseconds. */
+    /** Time since the target's record was removed when the request was sent; milliseconds, undefined if the record was present. */
     readonly recordRemovedForMs: number | undefined;
-    /** Part that owners may give away, as learnt by this router. */
+    /** This router's estimate of the prefill share that owners may grant. */
     readonly readingShare: number | undefined;
-    /** What it counts against its account's share: asked for, and given to it by a target. */
+    /** Tokens charged to the account: requested, and served by a target. */
     readonly askedTokens: number;
     readonly servedTokens: number;
 }
 
-/** How a request ended, for the log and the figures. */
+/** How a request ended, for the log and the statistics. */
 export interface FlowOutcome extends FlowDetails {
     readonly outcome: "answered" | "failed" | "refused" | "broken" | "left" | "timeout";
     readonly reason: string;
-    /** Undefined when no whole answer was sent. */
+    /** Undefined if no complete response was sent. */
     readonly status: number | undefined;
 }
 
-/** What a selection expected. */
+/** Describes a selection for the log. */
 export function describeSelection(selection: Selection | undefined): SelectionDetails {
     return {
         target: selection?.target.id,
@@ -61,35 +61,35 @@
     };
 }
 
-/** Gives a request its final answer when its target does not. */
+/** Creates the outcome of a request, and sends the final response if no target has completed one. */
 export class FlowOutcomes {
     public constructor(
         private readonly caller: CallerExchange,
         private readonly codec: HeaderCodec,
         private readonly requestId: string | undefined,
         private readonly relay: ResponseRelay,
-        private readonly getFacts: () => FlowDetails,
+        private readonly getDetails: () => FlowDetails,
     ) {}
 
     public createOutcome(outcome: FlowOutcome["outcome"], reason: string, status: number | undefined): FlowOutcome {
-        return { ...this.getFacts(), outcome, reason, status };
+        return { ...this.getDetails(), outcome, reason, status };
     }
 
-    /** The request did not run and will not. */
+    /** Refuses a request that was not executed. */
     public refuse(reason: RouterResponseReason, retryAfterMs: number): FlowOutcome {
         return this.answer(reason, retryAfterMs, "refused", reason);
     }
 
-    /** The target answered with a failure of its own. */
+    /** Relays an error response of the target. */
     public sendFailure(failure: StoredResponse): FlowOutcome {
         if (this.relay.isCommitted) {
-            return this.endDisconnected("the stream could not go on elsewhere");
+            return this.endDisconnected("the stream could not be resumed at another target");
         }
         this.caller.answer(failure.status, this.codec.encodeForCaller(failure.headers), failure.body);
         return this.createOutcome("failed", "the target failed", failure.status);
     }
 
-    /** The target broke off, and the request may have run. */
+    /** Ends a request whose target disconnected; the request may have been executed. */
     public endDisconnected(detail: string): FlowOutcome {
         if (this.relay.isCommitted) {
             this.caller.cancel();
@@ -98,13 +98,13 @@
         return this.answer("target-broke", undefined, "failed", detail);
     }
 
-    /** The time is up. */
+    /** Ends a request whose deadline has been reached. */
     public endTimedOut(): FlowOutcome {
         if (this.relay.isCommitted) {
             this.caller.cancel();
-            return this.createOutcome("timeout", "the answer was not whole in time", undefined);
+            return this.createOutcome("timeout", "response incomplete at the deadline", undefined);
         }
-        return this.answer("timeout", undefined, "timeout", "no answer in time");
+        return this.answer("timeout", undefined, "timeout", "no response before the deadline");
     }
 
     private answer(
@@ -113,12 +113,12 @@
         outcome: FlowOutcome["outcome"],
         detail: string,
     ): FlowOutcome {
-        const own = createRouterResponse(reason, retryAfterMs);
+        const response = createRouterResponse(reason, retryAfterMs);
         this.caller.answer(
-            own.status,
-            { ...own.headers, ...this.codec.encodeRouterResponse(this.requestId) },
-            own.body,
+            response.status,
+            { ...response.headers, ...this.codec.encodeRouterResponse(this.requestId) },
+            response.body,
         );
-        return this.createOutcome(outcome, detail, own.status);
+        return this.createOutcome(outcome, detail, response.status);
     }
 }
