--- a/src/gateway/rollouts/pendingDisconnects.ts
+++ b/src/gateway/rollouts/pendingDisconnects.ts
@@ -1,18 +1,18 @@
 import type { Target } from "../target.js";
 
-interface PendingBreak {
+interface PendingDisconnect {
     readonly route: string;
     readonly atMs: number;
 }
 
 /**
- * Requests that a target broke off, until it is known why.
+ * Requests whose target closed the connection early, kept until the cause is clear.
  *
- * A target that crashes breaks all its requests, which says little of its version; one that goes on to answer requests that were sent
- * later has broken single answers.
+ * A target that crashes disconnects all its requests, which is weak evidence against its version. A target that responds to requests
+ * sent after the disconnect is still running, so it failed individual requests.
  */
 export class PendingDisconnects {
-    private readonly byTarget = new Map<Target, PendingBreak[]>();
+    private readonly byTarget = new Map<Target, PendingDisconnect[]>();
 
     public record(target: Target, route: string, atMs: number): void {
         const pending = this.byTarget.get(target) ?? [];
@@ -20,7 +20,7 @@
         this.byTarget.set(target, pending);
     }
 
-    /** The target answered a request; returns the routes of those that it broke off before that request was sent. */
+    /** For a target that responded to a request sent at `sentAtMs`: removes its earlier disconnects and returns their routes. */
     public takeSurvived(target: Target, sentAtMs: number): readonly string[] {
         const pending = this.byTarget.get(target) ?? [];
         const survived = pending.filter(({ atMs }) => atMs < sentAtMs);
--- a/src/gateway/rollouts/requestVersions.ts
+++ b/src/gateway/rollouts/requestVersions.ts
@@ -4,26 +4,26 @@
 import type { TargetDirectory } from "../targetDirectory.js";
 import type { ServiceRollout } from "./serviceRollout.js";
 
-/** What a {@link RequestVersions} goes by. */
+/** What a {@link RequestVersions} depends on. */
 export interface VersionSource {
     readonly directory: Pick<TargetDirectory, "listOpen" | "listAll">;
     readonly random: Random;
-    /** Undefined: no order names the service. */
+    /** Undefined if there is no roll-out order for the service. */
     findRollout(service: string): ServiceRollout | undefined;
     computeCapacityRatio(rollout: ServiceRollout): number;
 }
 
-/** Hash that ranks targets of a new version; a constant of its own, so that the ranking is no other decision's. */
+/** Seed of the hash that ranks targets of the candidate version; unique, so that the ranking does not correlate with other decisions. */
 const rankingSeed = 0x726f6c6c;
 
-/** Which versions of a service one request may go to; chosen once, so that a version gets a request or does not. */
+/** Selects the versions of a service that one request may be sent to; selected once per request, so that all its attempts agree. */
 export class RequestVersions {
     private readonly rollout: ServiceRollout | undefined;
     private isCandidate = false;
     private isSent = false;
-    private candidates: ReadonlySet<Target> = new Set();
-    private onlyVersion: boolean | undefined;
-    private openCandidate: boolean | undefined;
+    private candidateTargets: ReadonlySet<Target> = new Set();
+    private onlyVersionCache: boolean | undefined;
+    private openCandidateCache: boolean | undefined;
 
     public constructor(
         private readonly source: VersionSource,
@@ -36,14 +36,14 @@
             this.isCandidate = rollout.takeCandidate(route, source.random.next(), () =>
                 source.computeCapacityRatio(rollout),
             );
-            this.candidates = this.isCandidate ? this.chooseTargets(rollout) : this.candidates;
-            if (this.candidates.size === 0) {
+            this.candidateTargets = this.isCandidate ? this.chooseTargets(rollout) : this.candidateTargets;
+            if (this.candidateTargets.size === 0) {
                 this.chooseBaseline();
             }
         }
     }
 
-    /** Whether the request may still go to another version than the one chosen first. */
+    /** Whether the candidate version is selected and the request can still fall back to the baseline. */
     public get hasFallback(): boolean {
         return this.isCandidate;
     }
@@ -62,12 +62,12 @@
         }
         const isChosen = this.isCandidate && target.entry.service === this.service;
         if (role === "candidate") {
-            return isChosen ? this.candidates.has(target) : this.isOnlyVersion(rollout);
+            return isChosen ? this.candidateTargets.has(target) : this.isOnlyVersion(rollout);
         }
-        return isChosen ? this.candidates.size === 0 : true;
+        return isChosen ? this.candidateTargets.size === 0 : true;
     }
 
-    /** Sends the request to the old version in place of the new one, where that is still there. */
+    /** Selects the baseline version instead of the candidate, if the candidate is selected. */
     public chooseBaseline(): void {
         if (this.hasFallback) {
             if (!this.isSent) {
@@ -77,7 +77,7 @@
         }
     }
 
-    /** The request goes to a target. */
+    /** Records that the request is sent to a target; only the first call counts. */
     public recordSent(): void {
         if (!this.isSent) {
             this.isSent = true;
@@ -85,28 +85,28 @@
         }
     }
 
-    /** A version that is not known to be bad is better than none, where no target of another one is left. */
+    /** If no target of another version remains, a version that is not known to be bad is better than none. */
     private isOnlyVersion(rollout: ServiceRollout): boolean {
-        this.onlyVersion ??= rollout.isOnlyVersion(this.source.directory.listAll());
-        return this.onlyVersion;
+        this.onlyVersionCache ??= rollout.isOnlyVersion(this.source.directory.listAll());
+        return this.onlyVersionCache;
     }
 
-    /** The old targets stop when the roll-out is complete; one that is still listed is only tried where there is no other. */
+    /** Baseline targets stop when the roll-out is complete; one that is still listed is used only if no candidate target is open. */
     private hasOpenCandidate(rollout: ServiceRollout): boolean {
-        this.openCandidate ??= this.source.directory
+        this.openCandidateCache ??= this.source.directory
             .listOpen(rollout.order.service)
             .some(target => rollout.isCandidate(target));
-        return this.openCandidate;
+        return this.openCandidateCache;
     }
 
-    /** The same targets at all routers, so that those that get requests get them from all. */
+    /** Selects the same targets at all routers, so that these targets see the load of the whole fleet. */
     private chooseTargets(rollout: ServiceRollout): ReadonlySet<Target> {
-        const open = this.source.directory
+        const openTargets = this.source.directory
             .listOpen(rollout.order.service)
             .filter(target => rollout.isCandidate(target))
             .map(target => ({ target, rank: mixHashes(rankingSeed, target.idHash) }))
             .sort((a, b) => a.rank - b.rank);
-        const count = Math.max(1, Math.ceil(open.length * rollout.targetShare));
-        return new Set(open.slice(0, count).map(({ target }) => target));
+        const count = Math.max(1, Math.ceil(openTargets.length * rollout.targetShare));
+        return new Set(openTargets.slice(0, count).map(({ target }) => target));
     }
 }
--- a/src/gateway/rollouts/rolloutDecider.ts
+++ b/src/gateway/rollouts/rolloutDecider.ts
@@ -10,13 +10,13 @@
 import type { RolloutRecords, RolloutStatus } from "./rolloutRecords.js";
 import type { ServiceRollout } from "./serviceRollout.js";
 
-/** What a decider knows of the targets. */
+/** Target data that a decider needs. */
 export interface TargetSource {
     computeCapacityRatio(rollout: ServiceRollout): number;
     listTargets(rollout: ServiceRollout): readonly Target[];
 }
 
-/** What a {@link RolloutDecider} needs. */
+/** Dependencies of a {@link RolloutDecider}. */
 export interface RolloutDeciderOptions {
     readonly records: RolloutRecords;
     readonly clock: Clock;
@@ -25,49 +25,50 @@
     readonly source: TargetSource;
 }
 
-/** Routers that sum up the evidence; the second one acts when the first does not. */
+/** Number of routers that aggregate the evidence of the fleet; the second one acts if the first one does not. */
 const deciderCount = 2;
-/** From when a step is due until the second decider takes it; milliseconds. */
-const secondDelayMs = 800;
-/** A router without a report for this long is not known to have followed a step; milliseconds. */
+/** Time after a step is due at which the second decider writes it; milliseconds. */
+const secondDeciderDelayMs = 800;
+/** Reports older than this no longer show that their router follows the current step; milliseconds. */
 const reportTtlMs = 1_500;
 
 /**
- * Decides how a service's roll-out goes on, and writes it.
+ * Decides the next step of a service's roll-out and writes it to the store.
  *
- * Any router may decide: the store takes a write only if nothing was written since the writer's read, so that two deciders, or a write
- * that lands late, can't take a roll-out back. Which routers do it follows from who is there, without a lease.
+ * Any router may decide: the store accepts a write only if nothing was written since the writer's read, so two deciders or a delayed
+ * write can't revert a roll-out. The deciders are chosen by rendezvous hashing over the present routers, without a lease.
  */
 export class RolloutDecider {
-    private readonly judge = new RolloutEvaluator();
+    private readonly evaluator = new RolloutEvaluator();
     private readonly reports = new Map<string, { readonly message: RolloutMessage; readonly atMs: number }>();
     private rank = Number.POSITIVE_INFINITY;
     private dueSinceMs: number | undefined;
     private isWriting = false;
-    private mustWriteAgain = false;
+    private mustRewrite = false;
 
     public constructor(
         private readonly rollout: ServiceRollout,
         private readonly options: RolloutDeciderOptions,
     ) {}
 
-    /** Whether there is still something to report or to decide. */
+    /** Whether evidence must still be reported or a status be written. */
     public get isActive(): boolean {
         const { status, isWithdrawn, hasEnded } = this.rollout;
-        const wasNeverBegun = isWithdrawn && status === undefined;
-        return (!hasEnded && !wasNeverBegun) || this.mustWriteAgain;
+        const wasNeverStarted = isWithdrawn && status === undefined;
+        return (!hasEnded && !wasNeverStarted) || this.mustRewrite;
     }
 
-    /** Undefined at a router that does not sum up the evidence. */
+    /** Undefined at a router that is not a decider. */
     public get verdict(): RolloutVerdict | undefined {
-        return this.isDecider ? this.judge.verdict : undefined;
+        return this.isDecider ? this.evaluator.verdict : undefined;
     }
 
+    /** Evidence of the whole fleet by route; undefined at a router that is not a decider. */
     public get routes(): readonly RouteEvidence[] | undefined {
-        return this.isDecider ? this.judge.routeTotals : undefined;
+        return this.isDecider ? this.evaluator.routeTotals : undefined;
     }
 
-    /** The routers that sum up the evidence; of `routerIds`, those with recent reports. */
+    /** Chooses the deciders among `routerIds` and updates this router's rank among them. */
     public chooseDeciders(routerIds: readonly string[], ownId: string): readonly string[] {
         const key = `${this.rollout.order.service} ${this.rollout.order.version}`;
         const chosen = orderByRendezvous(key, routerIds, id => id).slice(0, deciderCount);
@@ -76,25 +77,26 @@
         return chosen;
     }
 
+    /** Adds a router's report, which may be this router's own, to the evidence. */
     public applyMessage(senderId: string, message: RolloutMessage): void {
         const nowMs = this.options.clock.nowMs();
         this.reports.set(senderId, { message, atMs: nowMs });
-        this.judge.apply(`${senderId} ${message.incarnation}`, message.evidence, nowMs);
+        this.evaluator.apply(`${senderId} ${message.incarnation}`, message.evidence, nowMs);
     }
 
-    /** The store may have lost what was written last. */
+    /** Schedules the current status to be written again, since the store may have lost it when an older copy was restored. */
     public handleRewind(): void {
-        this.mustWriteAgain = this.rollout.status !== undefined;
+        this.mustRewrite = this.rollout.status !== undefined;
     }
 
-    /** Takes the next step if it is due and this router's turn. */
+    /** Writes the next step if it is due and this router is the one to write it. */
     public advance(routerIds: readonly string[]): void {
         const { rollout, options } = this;
         if (!this.isDecider) {
             this.dueSinceMs = undefined;
             return;
         }
-        if (this.judge.verdict === "bad") {
+        if (this.evaluator.verdict === "bad") {
             rollout.recordBad();
         }
         const next = this.chooseStatus(routerIds);
@@ -104,7 +106,7 @@
         }
         const nowMs = options.clock.nowMs();
         this.dueSinceMs ??= nowMs;
-        if (!this.isWriting && nowMs - this.dueSinceMs >= this.rank * secondDelayMs) {
+        if (!this.isWriting && nowMs - this.dueSinceMs >= this.rank * secondDeciderDelayMs) {
             void this.write(next);
         }
     }
@@ -113,13 +115,13 @@
         return this.rank < deciderCount;
     }
 
-    /** The status to write; undefined: the store's holds. */
+    /** The status to write; undefined if the stored status is still valid. */
     private chooseStatus(routerIds: readonly string[]): RolloutStatus | undefined {
         const { status } = this.rollout;
         if (status === undefined) {
             return this.rollout.isWithdrawn ? undefined : this.createFirstStatus();
         }
-        if (this.mustWriteAgain) {
+        if (this.mustRewrite) {
             return status;
         }
         const decision = hasEnded(status) ? undefined : this.chooseNext(status, routerIds);
@@ -130,26 +132,26 @@
         const { rollout, options } = this;
         const { service, version } = rollout.order;
         const targets = options.source.listTargets(rollout);
-        const isThere = targets.length > 0 && targets.every(target => rollout.isCandidate(target));
+        const isAlreadyComplete = targets.length > 0 && targets.every(target => rollout.isCandidate(target));
         return {
             service,
             version,
-            state: isThere ? "complete" : "running",
-            step: isThere ? "switch" : "canary",
+            state: isAlreadyComplete ? "complete" : "running",
+            step: isAlreadyComplete ? "switch" : "canary",
             startedAt: new Date(options.clock.nowDate().getTime() - rollout.ageMs),
-            reason: isThere ? "all targets are of the version" : "ordered",
+            reason: isAlreadyComplete ? "all targets are of the version" : "ordered",
             rejectedVersions: rollout.rejectedVersions.filter(rejected => rejected !== version),
         };
     }
 
     private chooseNext({ step }: RolloutStatus, routerIds: readonly string[]): RolloutDecision | undefined {
-        const { rollout, judge, options } = this;
+        const { rollout, evaluator, options } = this;
         return chooseNextStep({
             step,
             ageMs: rollout.ageMs,
             stepAgeMs: rollout.stepAgeMs,
             durationMs: rollout.order.durationMs,
-            verdict: rollout.isBad ? "bad" : judge.verdict,
+            verdict: rollout.isBad ? "bad" : evaluator.verdict,
             capacityRatio: options.source.computeCapacityRatio(rollout),
             isOldVersionIdle: routerIds.every(id => this.isIdle(id)),
             isWithdrawn: rollout.isWithdrawn,
@@ -169,35 +171,35 @@
     private async write(next: RolloutStatus): Promise<void> {
         const { rollout, options } = this;
         const { records, logger, token } = options;
-        // What the decision was made on: while the store is read, another router's later status may arrive.
+        // The status that the decision is based on; another router's later status may arrive while the store is read.
         const before = rollout.status;
         this.isWriting = true;
         try {
             const stored = await records.read(next.service, token);
             if (stored.isErr()) {
-                logger.write("warn", "a roll-out's status can't be read", { detail: stored.error.message });
+                logger.write("warn", "reading the roll-out status failed", { detail: stored.error.message });
                 return;
             }
             const { status, endOffset } = stored.value;
-            // The store knows a later order than this router.
+            // The store holds the status of a later order than this router has received.
             if (status !== undefined && this.isLaterOrder(status)) {
                 return;
             }
-            // Another router was first. A status behind the one that is known is what the store came back with from an older copy.
+            // Another router wrote first, unless the stored status is behind the known one: then the store was restored from an older copy.
             if (status !== undefined && rollout.applyStatus(status) && !isSame(status, before)) {
                 return;
             }
-            if (this.mustWriteAgain && isSame(status, before)) {
-                this.mustWriteAgain = false;
+            if (this.mustRewrite && isSame(status, before)) {
+                this.mustRewrite = false;
                 return;
             }
             const outcome = await records.write(next, endOffset, token);
             if (outcome.isErr()) {
-                logger.write("warn", "a roll-out's status can't be written", { detail: outcome.error.message });
+                logger.write("warn", "writing the roll-out status failed", { detail: outcome.error.message });
             } else if (outcome.value === "written") {
                 rollout.applyStatus(next);
-                this.mustWriteAgain = false;
-                this.writeStep(next);
+                this.mustRewrite = false;
+                this.writeStepLog(next);
             }
         } finally {
             this.isWriting = false;
@@ -209,16 +211,16 @@
         return version !== order.version && (status !== undefined || rejectedVersions.includes(order.version));
     }
 
-    private writeStep({ service, version, state, step, reason }: RolloutStatus): void {
-        const { rollout, judge, options } = this;
-        const { candidate, baseline } = judge.totals;
-        options.logger.write("info", "a roll-out goes on", {
+    private writeStepLog({ service, version, state, step, reason }: RolloutStatus): void {
+        const { rollout, evaluator, options } = this;
+        const { candidate, baseline } = evaluator.totals;
+        options.logger.write("info", "roll-out advanced", {
             service,
             version,
             state,
             step,
             reason,
-            verdict: judge.verdict,
+            verdict: evaluator.verdict,
             ageMs: Math.round(rollout.ageMs),
             candidate: describeCounts(candidate),
             baseline: describeCounts(baseline),
--- a/src/gateway/rollouts/rolloutMessage.ts
+++ b/src/gateway/rollouts/rolloutMessage.ts
@@ -10,27 +10,27 @@
     public readonly code = "rollout-message-invalid";
 }
 
-/** What a router reports of a roll-out, whole each time: the next report makes up for a lost one. */
+/** A router's report on a roll-out; always the full state, so that the next report replaces a lost one. */
 export interface RolloutMessage {
-    /** Larger for later starts of the same router. */
+    /** Increases with each start of the same router. */
     readonly incarnation: number;
     readonly service: string;
     readonly version: string;
-    /** Since the sender first saw the order, or heard of it from others; milliseconds. */
+    /** Age of the order: the longest time since the sender or a router that reported to it first saw the order; milliseconds. */
     readonly ageMs: number;
     readonly step: RolloutStep;
-    /** The sender's requests under way at the old version. */
+    /** The sender's running requests at targets of the old version. */
     readonly baselineRunning: number;
-    /** The sender knows that the version is bad. */
+    /** Whether the sender has classified the version as bad, or received such a report. */
     readonly isBad: boolean;
     readonly evidence: RolloutEvidence;
 }
 
-/** Version of this format; a message of another version has another code and is left aside. */
+/** Version code of this message format; messages with another code are rejected. */
 const messageCode = 65;
-/** Rows of one message; keep it below the size at which networks fragment datagrams many times over. */
-const mostRoutes = 60;
-const mostTargets = 60;
+/** Maximum rows in one message, so that its datagram is not split into many fragments. */
+const maxRoutes = 60;
+const maxTargets = 60;
 const steps = ["canary", "watch", "ramp", "switch"] as const satisfies readonly RolloutStep[];
 
 const count = z.number().int().min(0);
@@ -45,16 +45,16 @@
     z.enum(steps),
     count,
     z.boolean(),
-    z.array(z.tuple([name, counts, counts])).max(mostRoutes),
-    z.array(z.tuple([z.number().int().min(0).max(0xffffffff), count])).max(mostTargets),
+    z.array(z.tuple([name, counts, counts])).max(maxRoutes),
+    z.array(z.tuple([z.number().int().min(0).max(0xffffffff), count])).max(maxTargets),
 ]);
 
-/** Whether a datagram carries a report on a roll-out, by its first bytes: an array whose first entry is the code. */
+/** Whether a datagram carries a roll-out report: its first bytes are a MessagePack array header and the message code. */
 export function isRolloutDatagram(data: Uint8Array): boolean {
     return data.length > 1 && (data[0] & 0xf0) === 0x90 && data[1] === messageCode;
 }
 
-/** A message in MessagePack (https://msgpack.org). */
+/** Encodes a message as MessagePack (https://msgpack.org). */
 export function encodeRolloutMessage(message: RolloutMessage): Uint8Array {
     const { routes, breaks } = message.evidence;
     const wire: z.input<typeof wireSchema> = [
@@ -67,24 +67,24 @@
         message.baselineRunning,
         message.isBad,
         routes
-            .slice(0, mostRoutes)
+            .slice(0, maxRoutes)
             .map(({ route, candidate, baseline }) => [route, encodeCounts(candidate), encodeCounts(baseline)]),
-        breaks.slice(0, mostTargets).map(entry => [entry.targetHash, entry.breaks]),
+        breaks.slice(0, maxTargets).map(entry => [entry.targetHash, entry.breaks]),
     ];
     return encode(wire);
 }
 
-/** Decodes a message. Errors: no MessagePack, or of another form or version. */
+/** Decodes a message. Errors: invalid MessagePack, or another structure or version. */
 export function decodeRolloutMessage(data: Uint8Array): Result<RolloutMessage, RolloutMessageError> {
     let value: unknown;
     try {
         value = decode(data);
     } catch (cause) {
-        return err(new RolloutMessageError("no MessagePack", cause));
+        return err(new RolloutMessageError("roll-out report is not valid MessagePack", cause));
     }
     const parsed = wireSchema.safeParse(value);
     if (!parsed.success) {
-        return err(new RolloutMessageError("of an unknown form or version", parsed.error));
+        return err(new RolloutMessageError("roll-out report has an unknown structure or version", parsed.error));
     }
     const [, incarnation, service, version, ageMs, step, baselineRunning, isBad, routes, breaks] = parsed.data;
     return ok({
--- a/src/gateway/rollouts/rolloutMetrics.ts
+++ b/src/gateway/rollouts/rolloutMetrics.ts
@@ -5,7 +5,7 @@
 const labels = ["service", "version"] as const;
 const resultLabels = [...labels, "side", "result"] as const;
 
-/** How roll-outs stand, and what was observed of both versions since their orders. */
+/** Metrics on the state of roll-outs and on the requests to both versions since the order. */
 export class RolloutMetrics {
     public constructor(registry: Registry, listRollouts: () => readonly RolloutView[]) {
         const registers = [registry];
--- a/src/gateway/rollouts/rolloutRecords.ts
+++ b/src/gateway/rollouts/rolloutRecords.ts
@@ -3,46 +3,46 @@
 import type { LynxarchError } from "../../base/errors.js";
 import type { RolloutOutcome, RolloutStep } from "../../decisions/rollouts/rolloutPlan.js";
 
-/** The operators' order to move a service to targets of another version. */
+/** An operator's order to move a service to another version of its targets. */
 export interface RolloutOrder {
     readonly service: string;
     readonly version: string;
-    /** Within this time a sound version is to be complete. */
+    /** Time within which the roll-out of a sound version must be complete; milliseconds. */
     readonly durationMs: number;
 }
 
-/** How a roll-out stands, as the platform's store holds it; the same for all routers. */
+/** Status of a roll-out as held by the platform's store; shared by all routers. */
 export interface RolloutStatus {
     readonly service: string;
     readonly version: string;
     readonly state: "running" | RolloutOutcome;
-    /** The step of a roll-out that runs. */
+    /** The current step of a running roll-out; the last one after it has ended. */
     readonly step: RolloutStep;
-    /** When a router first saw the order, by its wall clock. */
+    /** Wall-clock time at which the router that wrote the first status, or one that reported to it, first saw the order. */
     readonly startedAt: Date;
-    /** Why it came to this, for people. */
+    /** Human-readable reason for the state and step. */
     readonly reason: string;
-    /** Versions that earlier orders named and that must get nothing: rolled back, or replaced before they were complete. */
+    /** Versions from earlier orders that must not receive requests: rolled back, or replaced before their roll-out was complete. */
     readonly rejectedVersions: readonly string[];
 }
 
-/** What the store holds of a roll-out, and where its log ends. */
+/** Stored status of a roll-out, with the end offset of the store's log. */
 export interface StoredRollout {
     readonly status: RolloutStatus | undefined;
-    /** For the condition of a write. */
+    /** Passed to the next conditional write. */
     readonly endOffset: number;
 }
 
-/** Whether a write took effect. */
+/** Result of a conditional write. */
 export type WriteOutcome =
     | "written"
-    /** Something else was written since the offset that the write named. */
+    /** Another record was written after the given end offset; this write had no effect. */
     | "superseded";
 
-/** Keeps how roll-outs stand in the platform's store, which orders the writes of all routers. */
+/** Reads and writes the status of roll-outs in the platform's store, which serialises the writes of all routers. */
 export interface RolloutRecords {
-    /** Errors: the store is away, or holds what can't be decoded. */
+    /** Errors: the store is unavailable, or its records can't be decoded. */
     read(service: string, token: CancellationToken): ResultAsync<StoredRollout, LynxarchError>;
-    /** Takes effect only if nothing was written since `endOffset`. Errors: unavailable; it may take effect later. */
+    /** Takes effect only if nothing was written after `endOffset`. Errors: the store is unavailable; the write may take effect later. */
     write(status: RolloutStatus, endOffset: number, token: CancellationToken): ResultAsync<WriteOutcome, LynxarchError>;
 }
--- a/src/gateway/rollouts/rollouts.ts
+++ b/src/gateway/rollouts/rollouts.ts
@@ -19,12 +19,12 @@
 import type { RolloutOrder, RolloutRecords, RolloutStatus } from "./rolloutRecords.js";
 import { ServiceRollout } from "./serviceRollout.js";
 
-/** Sends a router's reports; undelivered ones are made up for by the next. */
+/** Sends this router's reports; delivery is not guaranteed, since the next report replaces a lost one. */
 export interface RolloutTransport {
     sendRollout(routerId: string, message: RolloutMessage): void;
 }
 
-/** What a {@link Rollouts} needs. */
+/** Dependencies of {@link Rollouts}. */
 export interface RolloutsOptions {
     readonly ownId: string;
     readonly peers: Pick<PeerView, "routers" | "conditions">;
@@ -38,7 +38,7 @@
     readonly getLimit: () => ExposureLimit;
 }
 
-/** How a roll-out stands, for people. */
+/** State of a roll-out as shown to operators. */
 export interface RolloutView {
     readonly service: string;
     readonly version: string;
@@ -47,13 +47,13 @@
     readonly reason: string;
     readonly ageMs: number;
     readonly durationMs: number;
-    /** Undefined at a router that does not sum up the evidence. */
+    /** Undefined at a router that is not a decider of the roll-out. */
     readonly verdict: RolloutVerdict | undefined;
-    /** Sums over the fleet at a router that has a verdict, and this router's own counts elsewhere. */
+    /** Totals of the fleet at a router that has a verdict; this router's own counts elsewhere. */
     readonly routes: readonly RouteEvidence[];
 }
 
-/** A send that has ended. */
+/** An attempt that has ended. */
 export interface ObservedAttempt {
     readonly target: Target;
     readonly route: string;
@@ -62,18 +62,18 @@
     readonly sentAtMs: number;
 }
 
-/** A target that has just started is slow, whatever its version; milliseconds. */
+/** Time after a target's start in which slow responses are not counted, since they don't depend on its version; milliseconds. */
 const warmUpMs = 3_000;
-const firstServerFault = 500;
-/** How often routers report, and look whether a step is due; milliseconds. */
-const tickMs = 250;
+const minServerErrorStatus = 500;
+/** Period of the routers' reports and of the check whether a step is due; milliseconds. */
+const reportPeriodMs = 250;
 
-/** The roll-outs of all services: which version requests go to, what is observed of it, and how it goes on. */
+/** The roll-outs of all services: selects versions for requests, collects evidence on versions, and advances the steps. */
 export class Rollouts implements VersionSource, Disposable {
     private readonly store = new DisposableStore();
     private readonly lifetime = this.store.add(new CancellationTokenSource());
     private readonly byService = new Map<string, ServiceRollout>();
-    private readonly paces = new LazyMap(() => new SlowResponseDetector());
+    private readonly slowResponseDetectors = new LazyMap(() => new SlowResponseDetector());
     private readonly deciders = new Map<string, RolloutDecider>();
     private readonly incarnation: number;
     private timer: Disposable | undefined;
@@ -90,12 +90,12 @@
         return this.options.random;
     }
 
-    /** Chooses the versions that a request on the route may go to; `service`: where it goes first. */
+    /** Selects the versions that a request on the route may be sent to; `service` is its first destination. */
     public open(service: string | undefined, route: string): RequestVersions {
         return new RequestVersions(this, service, route);
     }
 
-    /** Whether the target's version is not one that may be bad: what such a target has read is not copied elsewhere. */
+    /** Whether the target's version is established. Cached parts of a target whose version may be bad are not copied to others. */
     public isTrusted(target: Target): boolean {
         const rollout = this.byService.get(target.entry.service);
         return (
@@ -105,24 +105,24 @@
         );
     }
 
-    /** Takes how a send ended: evidence on a version that is rolled out, and what is usual. */
-    public observe(send: ObservedAttempt): void {
-        const result = describeOutcome(send.outcome);
+    /** Records the outcome of an attempt as evidence on the versions and, for the reference of response durations, on the route. */
+    public observe(attempt: ObservedAttempt): void {
+        const result = describeOutcome(attempt.outcome);
         if (result === undefined) {
             return;
         }
-        const { target, route, times, sentAtMs } = send;
+        const { target, route, times, sentAtMs } = attempt;
         const rollout = this.byService.get(target.entry.service);
         const isCandidate = rollout?.isCandidate(target) === true && !rollout.hasEnded;
-        const pace = this.paces.getOrCreate(`${target.entry.service} ${route}`);
+        const detector = this.slowResponseDetectors.getOrCreate(`${target.entry.service} ${route}`);
         const isWarm = sentAtMs >= Math.max(target.coldUntilMs, target.incarnationSeenAtMs + warmUpMs);
-        const isSlow = isWarm && result !== "broken" ? pace.isSlow(times) : undefined;
+        const isSlow = isWarm && result !== "broken" ? detector.isSlow(times) : undefined;
         if (!isCandidate && result === "ok") {
-            pace.observe(times);
+            detector.observe(times);
         }
         rollout?.observe({ route, isCandidate, targetHash: target.idHash, result, isSlow });
         if (isCandidate) {
-            rollout.observeDisconnect(send, result === "broken");
+            rollout.observeDisconnect(attempt, result === "broken");
         }
     }
 
@@ -130,7 +130,7 @@
         return this.byService.get(service);
     }
 
-    /** Takes the operators' order for a service; undefined: they took it back. */
+    /** Applies the operators' order for a service; undefined if they withdrew it. */
     public applyOrder(service: string, order: RolloutOrder | undefined): void {
         const known = this.byService.get(service);
         if (order === undefined) {
@@ -142,13 +142,13 @@
         }
         const { peers, clock, logger, getLimit, records } = this.options;
         const { routerIds, unheard } = peers.routers;
-        const isAgain = known?.order.version === order.version;
-        const rejected = isAgain ? known.rejectedVersions : (known?.listRejectedForNext() ?? []);
+        const isReissued = known?.order.version === order.version;
+        const rejected = isReissued ? known.rejectedVersions : (known?.listRejectedForNext() ?? []);
         const rollout = new ServiceRollout(order, getLimit(), routerIds.length + unheard, rejected, clock);
-        if (isAgain && known.status !== undefined) {
+        if (isReissued && known.status !== undefined) {
             rollout.applyStatus(known.status);
         }
-        logger.write("info", "a roll-out is ordered", { ...order, rejected: rejected.join(" ") });
+        logger.write("info", "roll-out ordered", { ...order, rejected: rejected.join(" ") });
         this.byService.set(service, rollout);
         this.deciders.set(
             service,
@@ -157,18 +157,18 @@
         this.startTimer();
     }
 
-    /** Takes what the store holds of a service's roll-out. */
+    /** Applies the stored status of a service's roll-out. */
     public applyStatus(status: RolloutStatus): void {
         this.byService.get(status.service)?.applyStatus(status);
     }
 
-    /** The store came back from an older copy: an end that it lost must not be forgotten. */
+    /** After the store was restored from an older copy, writes roll-out outcomes again that the copy lacks. */
     public handleRewind(): void {
         this.deciders.forEach(decider => decider.handleRewind());
         this.startTimer();
     }
 
-    /** Takes another router's report. */
+    /** Applies another router's report. */
     public applyMessage(senderId: string, message: RolloutMessage): void {
         const rollout = this.byService.get(message.service);
         if (rollout === undefined || rollout.order.version !== message.version) {
@@ -181,7 +181,7 @@
         this.deciders.get(message.service)?.applyMessage(senderId, message);
     }
 
-    /** What the new version's targets that take requests and are warm can do, over what the old version's can. */
+    /** Slots of the candidate's open targets that are not cold, divided by the slots of the baseline's open targets. */
     public computeCapacityRatio(rollout: ServiceRollout): number {
         const nowMs = this.options.clock.nowMs();
         let candidate = 0;
@@ -194,7 +194,7 @@
         return baseline === 0 ? (candidate === 0 ? 0 : Number.POSITIVE_INFINITY) : candidate / baseline;
     }
 
-    /** This router's requests under way at the old version. */
+    /** Number of this router's running requests at targets of other versions than the candidate. */
     public countBaselineRunning(rollout: ServiceRollout): number {
         return this.listTargets(rollout)
             .filter(target => rollout.findRole(target.entry.version) !== "candidate")
@@ -231,7 +231,7 @@
     }
 
     private startTimer(): void {
-        this.timer ??= this.options.setTimer(tickMs, () => {
+        this.timer ??= this.options.setTimer(reportPeriodMs, () => {
             this.timer = undefined;
             this.sendReports();
         });
@@ -245,9 +245,9 @@
             if (decider !== undefined && decider.isActive && this.directory.findService(service) !== undefined) {
                 isActive = true;
                 const message = this.createMessage(rollout);
-                const addressees = decider.chooseDeciders(routerIds, this.options.ownId);
+                const recipients = decider.chooseDeciders(routerIds, this.options.ownId);
                 decider.applyMessage(this.options.ownId, message);
-                for (const routerId of message.isBad ? routerIds : addressees) {
+                for (const routerId of message.isBad ? routerIds : recipients) {
                     if (routerId !== this.options.ownId) {
                         this.options.transport.sendRollout(routerId, message);
                     }
@@ -276,13 +276,13 @@
     }
 }
 
-/** What a send's end says of its target's version; undefined: nothing. */
+/** Result of an attempt as evidence on its target's version; undefined if it is no evidence. */
 function describeOutcome(outcome: AttemptOutcome): VersionSample["result"] | undefined {
     switch (outcome.kind) {
         case "answered":
             return "ok";
         case "failed":
-            return outcome.answer.status >= firstServerFault ? "failed" : "ok";
+            return outcome.answer.status >= minServerErrorStatus ? "failed" : "ok";
         case "broken":
             return "broken";
         case "stopped":
--- a/src/gateway/rollouts/rolloutsApi.ts
+++ b/src/gateway/rollouts/rolloutsApi.ts
@@ -8,7 +8,7 @@
 import { fetchBounded } from "../../control/boundedFetch.js";
 import type { RolloutView } from "./rollouts.js";
 
-/** A router did not answer an operator's call about roll-outs. */
+/** An operator's call to list roll-outs failed. */
 export class RolloutsApiError extends LynxarchError {
     public readonly code = "rollouts-failed";
 }
@@ -34,7 +34,7 @@
 const trpc = initTRPC.context<{ readonly listAll: () => readonly RolloutView[] }>().create();
 const rolloutsRouter = trpc.router({ list: trpc.procedure.query(({ ctx }) => ctx.listAll()) });
 
-/** Builds the app that operators see roll-outs with. */
+/** Creates the HTTP app that lists roll-outs for operators. */
 export function createRolloutsApp(listAll: () => readonly RolloutView[]): Hono {
     const app = new Hono();
     app.all(`${endpoint}/*`, context =>
@@ -48,15 +48,15 @@
     return app;
 }
 
-/** Roll-outs as a router knows them. Errors: no answer in time, or one of another form. */
+/** Fetches the roll-outs of the router at `address`. Errors: no response in time, or a response of another structure. */
 export function fetchRollouts(address: string): ResultAsync<readonly RolloutView[], RolloutsApiError> {
     const client = createTRPCClient<typeof rolloutsRouter>({
         links: [httpLink({ url: `http://${address}${endpoint}`, fetch: fetchBounded })],
     });
-    const answer = client.list
+    const response = client.list
         .query(undefined, { signal: AbortSignal.timeout(callTimeoutMs) })
         .then(value => viewSchema.parse(value).map(view => ({ ...view, verdict: view.verdict })));
-    return ResultAsync.fromPromise(answer, cause => {
+    return ResultAsync.fromPromise(response, cause => {
         return new RolloutsApiError(cause instanceof Error ? cause.message : String(cause), cause);
     });
 }
--- a/src/gateway/rollouts/serviceRollout.ts
+++ b/src/gateway/rollouts/serviceRollout.ts
@@ -6,26 +6,26 @@
 import { PendingDisconnects } from "./pendingDisconnects.js";
 import type { RolloutOrder, RolloutStatus } from "./rolloutRecords.js";
 
-/** What a target's version is to a roll-out. */
+/** Role of a target's version in a roll-out. */
 export type VersionRole =
     | "candidate"
     | "baseline"
-    /** Named by an earlier order, and not complete. */
+    /** Named by an earlier order whose roll-out was not completed. */
     | "rejected";
 
 const stepOrder: readonly RolloutStep[] = ["canary", "watch", "ramp", "switch"];
-/** Candidate requests by which one route may be ahead of the route with the fewest. */
-const mostRouteLead = 3;
-/** Part of the exposure that is used while a version that is shown to be sound is watched. */
-const watchShare = 0.35;
+/** Maximum number of candidate requests by which a route may be ahead of the route with the fewest. */
+const maxRouteLead = 3;
+/** Share of the exposure budget used in the `watch` step, after the evidence has shown the version to be sound. */
+const watchExposureShare = 0.35;
 
-/** One service's roll-out as this router knows it. */
+/** This router's state of one service's roll-out. */
 export class ServiceRollout {
     private readonly counter = new EvidenceCounter();
-    private readonly pendingBreaks = new PendingDisconnects();
+    private readonly pendingDisconnects = new PendingDisconnects();
     private readonly budget: ExposureBudget;
-    private readonly seenAtMs: number;
-    private olderByMs = 0;
+    private readonly firstSeenAtMs: number;
+    private ageOffsetMs = 0;
     private currentStatus: RolloutStatus | undefined;
     private stepSinceMs = 0;
     private withdrawn = false;
@@ -35,15 +35,15 @@
         public readonly order: RolloutOrder,
         limit: ExposureLimit,
         routerCount: number,
-        /** Versions that earlier orders named and that were not complete. */
-        private readonly rejectedBefore: readonly string[],
+        /** Versions from earlier orders whose roll-outs were not completed. */
+        private readonly previouslyRejected: readonly string[],
         private readonly clock: Clock,
     ) {
-        this.seenAtMs = clock.nowMs();
+        this.firstSeenAtMs = clock.nowMs();
         this.budget = new ExposureBudget(limit, routerCount);
     }
 
-    /** Undefined until a router has written that it runs; nothing is sent to the version before. */
+    /** Undefined until a router has written the first status; until then the version receives no requests. */
     public get status(): RolloutStatus | undefined {
         return this.currentStatus;
     }
@@ -52,9 +52,9 @@
         return this.currentStatus !== undefined && this.currentStatus.state !== "running";
     }
 
-    /** Since the order, as far as any router knows that reported here; milliseconds. */
+    /** Time since this router or any router that reported to it first saw the order; milliseconds. */
     public get ageMs(): number {
-        return this.clock.nowMs() - this.seenAtMs + this.olderByMs;
+        return this.clock.nowMs() - this.firstSeenAtMs + this.ageOffsetMs;
     }
 
     public get stepAgeMs(): number {
@@ -69,7 +69,7 @@
         return this.withdrawn;
     }
 
-    /** A router found the version to be bad: it gets nothing more, also before the store says so. */
+    /** Whether a router has classified the version as bad; it then receives no more requests, even before the store holds the roll-back. */
     public get isBad(): boolean {
         return this.knownBad;
     }
@@ -79,19 +79,19 @@
     }
 
     public get rejectedVersions(): readonly string[] {
-        return [...new Set([...this.rejectedBefore, ...(this.currentStatus?.rejectedVersions ?? [])])];
+        return [...new Set([...this.previouslyRejected, ...(this.currentStatus?.rejectedVersions ?? [])])];
     }
 
-    /** Versions that a next order has to reject: this one too, unless it is complete. */
+    /** Versions that the next order must reject; includes this order's version unless its roll-out is complete. */
     public listRejectedForNext(): readonly string[] {
         return this.currentStatus?.state === "complete"
             ? this.rejectedVersions
             : [...this.rejectedVersions, this.order.version];
     }
 
-    /** Notes how long ago another router first saw the order. */
+    /** Raises the order's age to that reported by another router; milliseconds. */
     public applyAge(ageMs: number): void {
-        this.olderByMs += Math.max(0, ageMs - this.ageMs);
+        this.ageOffsetMs += Math.max(0, ageMs - this.ageMs);
     }
 
     public withdraw(): void {
@@ -102,14 +102,17 @@
         this.knownBad = true;
     }
 
-    /** Takes what the store holds; false: it is of another version, or behind what is known, as after the store lost its newest records. */
+    /**
+     * Applies a stored status. False if it belongs to another version, or is behind the current status because the store lost its newest
+     * records.
+     */
     public applyStatus(status: RolloutStatus): boolean {
         const known = this.currentStatus;
         if (status.version !== this.order.version || (known !== undefined && isBehind(status, known))) {
             return false;
         }
         if (known === undefined) {
-            this.applyStart(status);
+            this.applyStartTime(status);
         }
         if (known?.step !== status.step || known.state !== status.state) {
             this.stepSinceMs = this.clock.nowMs();
@@ -125,7 +128,7 @@
         return version !== undefined && this.rejectedVersions.includes(version) ? "rejected" : "baseline";
     }
 
-    /** Whether requests may go to the new version because no target of another one is left, and it is not known to be bad. */
+    /** Whether requests may go to the candidate because no target of another version remains and the candidate is not known to be bad. */
     public isOnlyVersion(targets: readonly Target[]): boolean {
         if (this.knownBad || this.currentStatus?.state === "rolled-back") {
             return false;
@@ -139,8 +142,9 @@
     }
 
     /**
-     * Whether a request on the route is to go to the new version; `point`: uniform in 0 to 1, `getCapacityRatio`: what the new version's
-     * targets can take over what the old version's do. True: {@link recordUnsent} must follow if it goes elsewhere.
+     * Whether a request on the route is to be sent to the candidate version. `point` is a uniform random number in 0 to 1,
+     * `getCapacityRatio` returns the capacity of the candidate's targets divided by that of the baseline's targets.
+     * If it returns true and the request is sent elsewhere, the caller must call {@link recordUnsent}.
      */
     public takeCandidate(route: string, point: number, getCapacityRatio: () => number): boolean {
         if (this.currentStatus?.state !== "running" || this.knownBad || this.withdrawn) {
@@ -157,7 +161,7 @@
         }
     }
 
-    /** Part of the new version's targets that requests go to: few requests show what a version does under load at few targets. */
+    /** Share of the candidate's targets that receive requests: few targets are loaded even by few requests, so faults under load show. */
     public get targetShare(): number {
         switch (this.step) {
             case "canary":
@@ -170,11 +174,12 @@
         }
     }
 
+    /** Adds a request that is sent to any version to the exposure budget. */
     public recordRequest(): void {
-        this.budget.recordRequest(this.step === "watch" ? watchShare : 1);
+        this.budget.recordRequest(this.step === "watch" ? watchExposureShare : 1);
     }
 
-    /** The request that was to go to the new version went elsewhere. */
+    /** Returns the budget of a request that was selected for the candidate but sent elsewhere. */
     public recordUnsent(): void {
         if (this.step === "canary" || this.step === "watch") {
             this.budget.recordUnsent();
@@ -187,34 +192,40 @@
         }
     }
 
-    /** Tells requests that a target of the new version broke off from those that ended with it. */
-    public observeDisconnect(send: { target: Target; route: string; sentAtMs: number }, isBroken: boolean): void {
-        if (isBroken) {
-            this.pendingBreaks.record(send.target, send.route, this.clock.nowMs());
+    /**
+     * Tracks disconnects by a candidate target. Once the target responds to a request that was sent later, they count as failures of
+     * single requests; until then the target may have crashed.
+     */
+    public observeDisconnect(
+        attempt: { target: Target; route: string; sentAtMs: number },
+        isDisconnected: boolean,
+    ): void {
+        if (isDisconnected) {
+            this.pendingDisconnects.record(attempt.target, attempt.route, this.clock.nowMs());
             return;
         }
-        for (const route of this.pendingBreaks.takeSurvived(send.target, send.sentAtMs)) {
+        for (const route of this.pendingDisconnects.takeSurvived(attempt.target, attempt.sentAtMs)) {
             this.counter.recordDisconnectFailures(route, 1);
         }
     }
 
-    /** Routes with few candidate requests first, so that each is seen. */
+    /** Prefers routes with few candidate requests, so that every route gets evidence. */
     private takeSample(route: string): boolean {
         if (!this.budget.hasCapacity) {
             return false;
         }
         const { routes } = this.counter.evidence;
         const own = routes.find(other => other.route === route)?.candidate.requests ?? 0;
-        const fewest = routes.reduce((least, other) => Math.min(least, other.candidate.requests), own);
-        if (own - fewest > mostRouteLead && !this.budget.isFull) {
+        const fewest = routes.reduce((min, other) => Math.min(min, other.candidate.requests), own);
+        if (own - fewest > maxRouteLead && !this.budget.isFull) {
             return false;
         }
         this.budget.recordExposed();
         return true;
     }
 
-    /** Where this router joins a roll-out that runs, the time of its start is all there is to tell its age. */
-    private applyStart({ startedAt }: RolloutStatus): void {
+    /** A router that joins a running roll-out can derive the roll-out's age only from the stored start time. */
+    private applyStartTime({ startedAt }: RolloutStatus): void {
         const ageMs = this.clock.nowDate().getTime() - startedAt.getTime();
         if (ageMs <= this.order.durationMs) {
             this.applyAge(ageMs);
--- a/src/gateway/rollouts/slowResponseDetector.ts
+++ b/src/gateway/rollouts/slowResponseDetector.ts
@@ -1,53 +1,55 @@
 import { RunningQuantile } from "../../decisions/structures/runningQuantile.js";
 
-/** How long one whole answer took. */
+/** Durations of one complete response. */
 export interface ResponseTimes {
-    /** From the send to the first output; milliseconds. */
+    /** From sending the request to the first output; milliseconds. */
     readonly firstOutputMs: number;
-    /** The same as it was expected; milliseconds. */
+    /** Expected value of `firstOutputMs`; milliseconds. */
     readonly expectedMs: number;
-    /** From the first output to the end, for each output behind the first; milliseconds, undefined with one output. */
+    /** Time from the first output to the end, per output after the first; milliseconds. Undefined with a single output. */
     readonly msPerOutput: number | undefined;
 }
 
-/** Quantile of what is usual; a version several times slower is beyond it with most of its answers. */
-const usualQuantile = 0.9;
+/** Quantile of the durations that serves as reference; most responses of a version several times slower exceed it. */
+const referenceQuantile = 0.9;
+/** Durations above the reference times this factor count as slow. */
 const slowFactor = 1.6;
-/** Before so many answers there is no usual time. */
-const leastSamples = 10;
-/** Shorter times than this differ by chance alone; milliseconds. */
-const leastMs = 20;
+/** Responses needed before there is a reference. */
+const minSamples = 10;
+/** Shorter durations are raised to this value, since they differ by chance alone; milliseconds. */
+const minDurationMs = 20;
 
-/** How long answers on one route usually take, and which ones take several times as long. */
+/** Detects responses on one route that take several times as long as usual. */
 export class SlowResponseDetector {
-    private readonly firstRatio = new RunningQuantile(usualQuantile);
-    private readonly msPerOutput = new RunningQuantile(usualQuantile);
-    private samples = 0;
+    private readonly firstOutputRatio = new RunningQuantile(referenceQuantile);
+    private readonly msPerOutput = new RunningQuantile(referenceQuantile);
+    private sampleCount = 0;
 
-    /** Takes an answer of a version that is known to be sound. */
+    /** Adds a response to the reference; it must come from a version that is not being rolled out. */
     public observe(times: ResponseTimes): void {
-        this.samples += 1;
-        this.firstRatio.observe(computeRatio(times));
+        this.sampleCount += 1;
+        this.firstOutputRatio.observe(computeFirstOutputRatio(times));
         if (times.msPerOutput !== undefined) {
-            this.msPerOutput.observe(Math.max(leastMs, times.msPerOutput));
+            this.msPerOutput.observe(Math.max(minDurationMs, times.msPerOutput));
         }
     }
 
-    /** Whether the answer took several times as long as is usual. */
+    /** Whether the response took several times as long as the reference; false while there is no reference. */
     public isSlow(times: ResponseTimes): boolean {
-        if (this.samples < leastSamples) {
+        if (this.sampleCount < minSamples) {
             return false;
         }
         return (
-            isBeyond(computeRatio(times), this.firstRatio.value) || isBeyond(times.msPerOutput, this.msPerOutput.value)
+            isAboveReference(computeFirstOutputRatio(times), this.firstOutputRatio.value) ||
+            isAboveReference(times.msPerOutput, this.msPerOutput.value)
         );
     }
 }
 
-function computeRatio({ firstOutputMs, expectedMs }: ResponseTimes): number {
-    return Math.max(leastMs, firstOutputMs) / Math.max(leastMs, expectedMs);
+function computeFirstOutputRatio({ firstOutputMs, expectedMs }: ResponseTimes): number {
+    return Math.max(minDurationMs, firstOutputMs) / Math.max(minDurationMs, expectedMs);
 }
 
-function isBeyond(value: number | undefined, usual: number | undefined): boolean {
-    return value !== undefined && usual !== undefined && value > usual * slowFactor;
+function isAboveReference(value: number | undefined, reference: number | undefined): boolean {
+    return value !== undefined && reference !== undefined && value > reference * slowFactor;
 }
--- a/test/gateway/rollouts/rolloutDecider.test.ts
+++ b/test/gateway/rollouts/rolloutDecider.test.ts
@@ -19,11 +19,11 @@
 };
 const ended: RolloutStatus = { ...running, state: "complete", step: "switch" };
 
-/** A decider that has found its roll-out's time to be over and reads the store, whose answer the test gives. */
+/** Starts a decider whose roll-out has exceeded its duration and that reads the store; the test provides the store's response. */
 function startWrite(known: RolloutStatus = running): {
     readonly rollout: ServiceRollout;
     readonly written: RolloutStatus[];
-    readonly answer: (stored: StoredRollout) => Promise<void>;
+    readonly respond: (stored: StoredRollout) => Promise<void>;
 } {
     const clock = new ManualClock();
     const rollout = new ServiceRollout(order, { share: 0.1, slack: 0 }, 1, [], clock);
@@ -43,43 +43,43 @@
     decider.chooseDeciders(["router-1"], "router-1");
     clock.advance(order.durationMs);
     decider.advance(["router-1"]);
-    const answer = async (stored: StoredRollout): Promise<void> => {
+    const respond = async (stored: StoredRollout): Promise<void> => {
         resolveRead(stored);
         await new Promise(resolve => setImmediate(resolve));
     };
-    return { rollout, written, answer };
+    return { rollout, written, respond };
 }
 
-it("writes the step that was decided on where the store still holds what it was decided on", async () => {
-    const { written, answer } = startWrite();
-    await answer({ status: running, endOffset: 1 });
+it("writes the decided step if the stored status has not changed since the decision", async () => {
+    const { written, respond } = startWrite();
+    await respond({ status: running, endOffset: 1 });
     expect(written.map(({ state }) => state)).toEqual(["rolled-back"]);
 });
 
-// A router that stood still decides on what it knew before; the end that another router wrote meanwhile must not be taken back.
-it("writes nothing where another router has written meanwhile", async () => {
-    const { written, answer } = startWrite();
-    await answer({ status: ended, endOffset: 2 });
+// A router that was suspended decides on an outdated status; it must not revert the outcome that another router wrote meanwhile.
+it("writes nothing if another router has written meanwhile", async () => {
+    const { written, respond } = startWrite();
+    await respond({ status: ended, endOffset: 2 });
     expect(written).toEqual([]);
 });
 
-// The same with the news of the end arriving from the feed before the answer of the read.
-it("writes nothing where it learns of the end while it reads", async () => {
-    const { rollout, written, answer } = startWrite();
+// As above, with the outcome arriving through the status feed before the response to the read.
+it("writes nothing if it receives the outcome while it reads the store", async () => {
+    const { rollout, written, respond } = startWrite();
     rollout.applyStatus(ended);
-    await answer({ status: ended, endOffset: 2 });
+    await respond({ status: ended, endOffset: 2 });
     expect(written).toEqual([]);
 });
 
-// The store comes back from an older copy, without the step that was written last.
-it("writes over a status that is behind the one that is known", async () => {
-    const { written, answer } = startWrite({ ...running, step: "watch" });
-    await answer({ status: running, endOffset: 1 });
+// The store was restored from an older copy that lacks the last written step.
+it("overwrites a stored status that is behind the known one", async () => {
+    const { written, respond } = startWrite({ ...running, step: "watch" });
+    await respond({ status: running, endOffset: 1 });
     expect(written.map(({ state }) => state)).toEqual(["rolled-back"]);
 });
 
-// An order that is taken back before anything was written has nothing to roll back; without an end its reports would go on for ever.
-it("is done where the order is taken back before its roll-out began", () => {
+// An order that is withdrawn before any status was written has nothing to roll back; otherwise its reports would never stop.
+it("becomes inactive if the order is withdrawn before the roll-out has started", () => {
     const clock = new ManualClock();
     const rollout = new ServiceRollout(order, { share: 0.1, slack: 0 }, 1, [], clock);
     const records: RolloutRecords = {
--- a/test/gateway/rollouts/rolloutMessage.property.test.ts
+++ b/test/gateway/rollouts/rolloutMessage.property.test.ts
@@ -24,7 +24,7 @@
     }),
 });
 
-it("a report arrives as it was sent", () => {
+it("a decoded report equals the encoded one", () => {
     fc.assert(
         fc.property(messageArbitrary, message => {
             const data = encodeRolloutMessage(message);
@@ -35,8 +35,8 @@
     );
 });
 
-// Whatever arrives on the port must not end a router.
-it("bytes that are no report are an error", () => {
+// No datagram that arrives on the port may crash a router.
+it("arbitrary bytes are decoded without throwing", () => {
     fc.assert(
         fc.property(fc.uint8Array({ maxLength: 200 }), data => {
             const decoded = decodeRolloutMessage(data);
--- a/test/gateway/rollouts/rollouts.test.ts
+++ b/test/gateway/rollouts/rollouts.test.ts
@@ -7,7 +7,7 @@
 const order = { service: "app", target: "v2", duration_s: 4 };
 const exposure = { share: 0.1, slack: 20 };
 const orderKey = "rollout/app";
-const callPauseMs = 4;
+const requestIntervalMs = 4;
 
 interface WrittenStatus {
     readonly state: string;
@@ -40,18 +40,18 @@
     return targets.reduce((sum, target) => sum + target.ran.length, 0);
 }
 
-/** Sends requests on two routes, at all routers by turns, until the condition holds; returns how many, and the failures. */
+/** Sends requests on two routes, alternating between the routers, until the condition holds; returns the sent and failed counts. */
 async function sendUntil(check: () => boolean): Promise<{ readonly sent: number; readonly failed: number }> {
     const routers = fixture.current.routers.length;
-    const answers: Promise<boolean>[] = [];
+    const responses: Promise<boolean>[] = [];
     while (!check()) {
-        const path = answers.length % 3 === 0 ? "/book/" : "/find/";
-        const headers = { "x-lynxarch-attempt-id": `r${answers.length}` };
-        const answer = fixture.current.send({ path, headers }, answers.length % routers);
-        answers.push(answer.then(({ status }) => status === 200));
-        await new Promise(resolve => setTimeout(resolve, callPauseMs));
+        const path = responses.length % 3 === 0 ? "/book/" : "/find/";
+        const headers = { "x-lynxarch-attempt-id": `r${responses.length}` };
+        const response = fixture.current.send({ path, headers }, responses.length % routers);
+        responses.push(response.then(({ status }) => status === 200));
+        await new Promise(resolve => setTimeout(resolve, requestIntervalMs));
     }
-    const results = await Promise.all(answers);
+    const results = await Promise.all(responses);
     return { sent: results.length, failed: results.filter(isOk => !isOk).length };
 }
 
@@ -61,7 +61,7 @@
 }
 
 describe("a roll-out", () => {
-    it("of a sound version completes once nothing runs at the old one, and no request fails", async () => {
+    it("of a sound version completes once no request runs at the old version, and no request fails", async () => {
         const old = await addTargets("v1", 2);
         const next = await addTargets("v2", 2);
         await fixture.current.addRouter({ exposure });
@@ -78,7 +78,7 @@
         });
     });
 
-    // A version that fails a part of its requests must be taken back, with no more requests than the exposure allows.
+    // A version that fails some of its requests must be rolled back without receiving more requests than the exposure allows.
     it("of a version that fails is rolled back within its exposure", async () => {
         await addTargets("v1", 2);
         const bad = await addTargets("v2", 2);
@@ -96,7 +96,7 @@
         expect(countRan(bad) - ranAtEnd).toBeLessThanOrEqual(1);
     });
 
-    it("is shown to operators, with what is known of both versions", async () => {
+    it("is listed for operators, with the evidence on both versions", async () => {
         await addTargets("v1", 2);
         await addTargets("v2", 2);
         await fixture.current.addRouter({ exposure });
@@ -119,7 +119,7 @@
         expect(routes.every(({ candidate, baseline }) => candidate.requests > 0 && baseline.requests > 0)).toBe(true);
     });
 
-    it("that is taken back while it runs is rolled back", async () => {
+    it("whose order is withdrawn while it runs is rolled back", async () => {
         await addTargets("v1", 1);
         await addTargets("v2", 1);
         await fixture.current.addRouter({ exposure });
@@ -130,8 +130,8 @@
         expect(listSteps()).toEqual(["canary", "rolled_back v2"]);
     });
 
-    // A version that was rolled back, or was replaced before it was complete, is not known to be sound and must get nothing.
-    it("of a third version sends nothing to the second", async () => {
+    // A version that was rolled back, or replaced before its roll-out was complete, is not known to be sound and must get no requests.
+    it("of a third version sends no requests to the second version", async () => {
         await addTargets("v1", 2);
         const replaced = await addTargets("v2", 1);
         await fixture.current.addRouter({ exposure });
@@ -147,10 +147,10 @@
     });
 
     it.each([
-        ["no JSON", "{"],
-        ["another service's", { ...order, service: "engines" }],
-        ["no version", { service: "app", duration_s: 4 }],
-    ])("whose order is %s is left aside, and all targets serve", async (...[, value]) => {
+        ["not valid JSON", "{"],
+        ["for another service", { ...order, service: "engines" }],
+        ["without a version", { service: "app", duration_s: 4 }],
+    ])("whose order is %s is ignored, and all targets serve requests", async (...[, value]) => {
         const targets = [...(await addTargets("v1", 1)), ...(await addTargets("v2", 1))];
         await fixture.current.addRouter({ exposure });
         fixture.current.store.write("keyed.op", orderKey, value);
@@ -158,8 +158,8 @@
         expect(readStatus()).toBeUndefined();
     });
 
-    // Two routers that decide, and writes whose answers are lost, must not take an end back or end it twice.
-    it("goes one way while answers of the store are lost", async () => {
+    // Two deciders, and writes whose responses are lost, must neither revert an outcome nor write it twice.
+    it("never goes back a step while responses of the store are lost", async () => {
         await addTargets("v1", 2);
         await addTargets("v2", 2);
         await fixture.current.addRouter({ exposure });
@@ -170,8 +170,8 @@
         expect(listSteps()).toEqual(["canary", "watch", "ramp", "switch", "complete v2"]);
     });
 
-    // The store comes back from an older copy without the end: forgotten, a bad version would get requests again.
-    it("keeps its end where the store loses it", async () => {
+    // The store is restored from an older copy without the outcome: if the routers dropped it, too, a bad version would get requests again.
+    it("keeps its outcome if the store loses it", async () => {
         await addTargets("v1", 1);
         const bad = await addTargets("v2", 1);
         bad.forEach(target => (target.usual = "error"));
@@ -183,8 +183,8 @@
         expect(readStatus()).toMatchObject({ state: "rolled_back", target: "v2" });
     });
 
-    // A router that starts in the middle must not send to a version that was rolled back before.
-    it("that was rolled back is known to a router that starts later", async () => {
+    // A router that starts after the roll-back must not send requests to the rejected version.
+    it("remains rolled back at a router that starts later", async () => {
         await addTargets("v1", 1);
         const bad = await addTargets("v2", 1);
         bad.forEach(target => (target.usual = "error"));
