--- a/deploy/launch.ts
+++ b/deploy/launch.ts
@@ -1,18 +1,18 @@
 /**
- * Starts the router's program from its one file, with the code that V8 compiled when the file was made: after a loss of power all
- * routers start at once, and callers wait for as long as they compile.
+ * Starts the router from its bundled program file, using the V8 code cache created at build time: after a power failure all routers
+ * start at the same time, and callers would have to wait while the routers compile their code.
  */
 import { readFileSync, writeFileSync } from "node:fs";
 import { createRequire } from "node:module";
 import { fileURLToPath } from "node:url";
 import { Script } from "node:vm";
 
-/** Used by the build alone: runs the program, then notes the code that was compiled for it. */
+/** Used only by the build: runs the program, then writes the code cache. */
 const writeCacheOption = "--write-code-cache";
 const programFile = fileURLToPath(new URL("routerProgram.cjs", import.meta.url));
 const cacheFile = `${programFile}.cache`;
 
-/** The compiled code; undefined where the build made none: then V8 compiles, which is slower and otherwise the same. */
+/** Reads the code cache; undefined if the build created none: V8 then compiles the program, which only makes the start slower. */
 function readCache(): Buffer | undefined {
     try {
         return readFileSync(cacheFile);
@@ -25,9 +25,9 @@
 }
 
 /**
- * Operators send SIGHUP when they have changed the settings, also to a process that is just starting. Without a handler that
- * ends it, and the program's own is there only once it is loaded. Nothing is missed: the program reads the settings after
- * this, and looks at their file each second.
+ * Ignores SIGHUP until the program is loaded. Operators send it after changing the settings, also to a process that is just starting,
+ * and without a handler it would terminate the process. No change is missed: the program reads the settings later and checks
+ * their file every second.
  */
 function handleHangUp(): void {
     process.on("SIGHUP", () => undefined);
@@ -35,11 +35,11 @@
 
 function main(): void {
     handleHangUp();
-    process.stdout.write(`${JSON.stringify({ context: {}, message: "loading the program" })}\n`);
+    process.stdout.write(`${JSON.stringify({ context: {}, message: "loading program" })}\n`);
     const source = `(function (require) {${readFileSync(programFile, "utf8")}\n})`;
     const script = new Script(source, { filename: programFile, cachedData: readCache() });
     if (script.cachedDataRejected === true) {
-        const message = "the compiled code is of another Node.js version or other flags; compiling anew";
+        const message = "code cache was created with another Node.js version or other flags; compiling the program";
         process.stdout.write(`${JSON.stringify({ context: { file: cacheFile }, message })}\n`);
     }
     const program = script.runInThisContext() as (require: NodeJS.Require) => void;
--- a/deploy/router.ts
+++ b/deploy/router.ts
@@ -15,9 +15,9 @@
 import { StoreClient } from "../platform/storeClient.js";
 import { StoreFeed } from "../platform/storeFeed.js";
 
-/** The settings or the command line have a fault. */
+/** Exit code for invalid settings or command-line options. */
 const usageExitCode = 2;
-/** The daemon could not start. */
+/** Exit code if the daemon fails to start. */
 const failureExitCode = 1;
 
 interface CommandOptions {
@@ -27,7 +27,7 @@
 
 function main(): void {
     sade("lynxarch-router", true)
-        .describe("Runs the router that speaks to targets directly, on the users' platform.")
+        .describe("Runs the router on the users' platform; it sends requests directly to targets.")
         .option("--settings", `settings file (JSON); default: the file that ${settingsPathVariable} names`)
         .option("--check-settings", "check a settings file and exit")
         .action((options: CommandOptions) => run(options))
@@ -37,7 +37,7 @@
 function run(options: CommandOptions): void {
     const file = options["check-settings"] ?? options.settings ?? process.env[settingsPathVariable];
     if (typeof file !== "string") {
-        printFault(`--settings FILE or the variable ${settingsPathVariable} is needed`);
+        printError(`either --settings FILE or the environment variable ${settingsPathVariable} is required`);
         return;
     }
     readSettings(file).match(
@@ -48,7 +48,7 @@
                 void start(settings, file);
             }
         },
-        error => printFault(error.message),
+        error => printError(error.message),
     );
 }
 
@@ -60,7 +60,7 @@
     const clock = new SystemClock();
     const random = new SystemRandom();
     const output = new LogOutput(count =>
-        JSON.stringify({ context: { daemon: settings.daemonId, count }, message: "log lines were dropped" }),
+        JSON.stringify({ context: { daemon: settings.daemonId, count }, message: "log lines dropped" }),
     );
     setLogOutput(line => output.write(line));
     const logger = new RoarrLogger(settings.daemonId, settings.logLevel);
@@ -90,21 +90,21 @@
     });
     const watcher = new SettingsWatcher(file, logger, changed => daemon.applySettings(changed));
     process.on("SIGHUP", () => {
-        logger.write("info", "asked to read the settings again");
+        logger.write("info", "received SIGHUP; reading the settings again");
         watcher.read();
     });
     try {
         await daemon.start();
         watcher.start();
     } catch (error) {
-        logger.write("error", "the daemon cannot start", {
+        logger.write("error", "daemon failed to start", {
             detail: error instanceof Error ? error.message : String(error),
         });
         process.exit(failureExitCode);
     }
 }
 
-function printFault(message: string): void {
+function printError(message: string): void {
     process.stderr.write(`lynxarch-router: ${message}\n`);
     process.exitCode = usageExitCode;
 }
--- a/test/deploy/launch.test.ts
+++ b/test/deploy/launch.test.ts
@@ -8,7 +8,7 @@
 const folder = mkdtempSync(join(tmpdir(), "lynxarch-launch-"));
 const launcher = join(folder, "router.mjs");
 const processes = new ProcessGroup();
-/** Takes the place of the router: tells when it begins to load, and takes its time over it. */
+/** Replaces the router program: reports when it starts to load, and loads slowly. */
 const slowProgram = `
     require("node:fs").writeSync(1, "loading\\n");
     const endMs = Date.now() + 1500;
@@ -33,23 +33,23 @@
         rmSync(folder, { recursive: true, force: true });
     });
 
-    // Operators change the settings of all routers while one of them is being started again. It had no handler for SIGHUP before
-    // its program was loaded, and ended; the platform started it anew, and its callers were without it for longer.
-    it("outlives SIGHUP while the program is loading", async () => {
+    // Operators may send SIGHUP to all routers while one of them is restarting. Without a handler before its program is loaded, the signal
+    // terminates the process, and the platform has to start the router again, which prolongs the outage for its callers.
+    it("survives SIGHUP while the program is loading", async () => {
         const router = processes.start("router", launcher, []);
         await router.waitForLine(/^loading$/);
         router.send("SIGHUP");
         expect(await router.exited).toEqual({ code: 0, signal: undefined });
-        expect(router.listLines()).toEqual(['{"context":{},"message":"loading the program"}', "loading", "loaded"]);
+        expect(router.listLines()).toEqual(['{"context":{},"message":"loading program"}', "loading", "loaded"]);
     });
 
-    // The code was compiled by another Node.js or under other flags: it is slower to start, and starts all the same.
-    it("compiles anew what was compiled for others", async () => {
-        const other = join(folder, "routerProgram.cjs.cache");
-        copyFileSync(launcher, other);
+    // A code cache of another Node.js version or other flags makes the start slower, but must not prevent it.
+    it("compiles the program if the code cache is rejected", async () => {
+        const rejectedCache = join(folder, "routerProgram.cjs.cache");
+        copyFileSync(launcher, rejectedCache);
         const router = processes.start("router", launcher, []);
         expect((await router.exited).code).toBe(0);
         expect(router.listLines()).toContainEqual(expect.stringContaining("compiling"));
-        rmSync(other);
+        rmSync(rejectedCache);
     });
 });
