--- a/src/gateway/rollouts/serviceRollout.ts
+++ b/src/gateway/rollouts/serviceRollout.ts
@@ -216,7 +216,7 @@
         }
         const { routes } = this.counter.evidence;
         const own = routes.find(other => other.route === route)?.candidate.requests ?? 0;
-        const fewest = routes.reduce((min, other) => Math.min(min, other.candidate.requests), own);
+        const fewest = routes.reduce((lowest, other) => Math.min(lowest, other.candidate.requests), own);
         if (own - fewest > maxRouteLead && !this.budget.isFull) {
             return false;
         }
--- a/test/gateway/rollouts/rolloutDecider.test.ts
+++ b/test/gateway/rollouts/rolloutDecider.test.ts
@@ -23,7 +23,7 @@
 function startWrite(known: RolloutStatus = running): {
     readonly rollout: ServiceRollout;
     readonly written: RolloutStatus[];
-    readonly respond: (stored: StoredRollout) => Promise<void>;
+    readonly answer: (stored: StoredRollout) => Promise<void>;
 } {
     const clock = new ManualClock();
     const rollout = new ServiceRollout(order, { share: 0.1, slack: 0 }, 1, [], clock);
@@ -43,38 +43,38 @@
     decider.chooseDeciders(["router-1"], "router-1");
     clock.advance(order.durationMs);
     decider.advance(["router-1"]);
-    const respond = async (stored: StoredRollout): Promise<void> => {
+    const answer = async (stored: StoredRollout): Promise<void> => {
         resolveRead(stored);
         await new Promise(resolve => setImmediate(resolve));
     };
-    return { rollout, written, respond };
+    return { rollout, written, answer };
 }
 
 it("writes the decided step if the stored status has not changed since the decision", async () => {
-    const { written, respond } = startWrite();
-    await respond({ status: running, endOffset: 1 });
+    const { written, answer } = startWrite();
+    await answer({ status: running, endOffset: 1 });
     expect(written.map(({ state }) => state)).toEqual(["rolled-back"]);
 });
 
 // A router that was suspended decides on an outdated status; it must not revert the outcome that another router wrote meanwhile.
 it("writes nothing if another router has written meanwhile", async () => {
-    const { written, respond } = startWrite();
-    await respond({ status: ended, endOffset: 2 });
+    const { written, answer } = startWrite();
+    await answer({ status: ended, endOffset: 2 });
     expect(written).toEqual([]);
 });
 
 // As above, with the outcome arriving through the status feed before the response to the read.
 it("writes nothing if it receives the outcome while it reads the store", async () => {
-    const { rollout, written, respond } = startWrite();
+    const { rollout, written, answer } = startWrite();
     rollout.applyStatus(ended);
-    await respond({ status: ended, endOffset: 2 });
+    await answer({ status: ended, endOffset: 2 });
     expect(written).toEqual([]);
 });
 
 // The store was restored from an older copy that lacks the last written step.
 it("overwrites a stored status that is behind the known one", async () => {
-    const { written, respond } = startWrite({ ...running, step: "watch" });
-    await respond({ status: running, endOffset: 1 });
+    const { written, answer } = startWrite({ ...running, step: "watch" });
+    await answer({ status: running, endOffset: 1 });
     expect(written.map(({ state }) => state)).toEqual(["rolled-back"]);
 });
 
