--- a/src/gateway/rollouts/serviceRollout.ts
+++ b/src/gateway/rollouts/serviceRollout.ts
@@ -179,7 +179,7 @@
         this.budget.recordRequest(this.step === "watch" ? watchExposureShare : 1);
     }
 
-    /** Returns the budget of a request that was selected for the candidate but sent elsewhere. */
+    /** Refunds the exposure of a request that was selected for the candidate but sent elsewhere. */
     public recordUnsent(): void {
         if (this.step === "canary" || this.step === "watch") {
             this.budget.recordUnsent();
