--- a/src/gateway/rollouts/serviceRollout.ts
+++ b/src/gateway/rollouts/serviceRollout.ts
@@ -161,7 +161,7 @@
         }
     }
 
-    /** Share of the candidate's targets that receive requests: few targets are loaded even by few requests, so faults under load show. */
+    /** Share of the candidate's targets that receive requests: few requests put a real load only on few targets. */
     public get targetShare(): number {
         switch (this.step) {
             case "canary":
@@ -174,7 +174,7 @@
         }
     }
 
-    /** Adds a request that is sent to any version to the exposure budget. */
+    /** Credits the exposure budget with a share of a request that is sent to a target of any version. */
     public recordRequest(): void {
         this.budget.recordRequest(this.step === "watch" ? watchExposureShare : 1);
     }
