--- a/src/fleet/agent/admitSystem.ts
+++ b/src/fleet/agent/admitSystem.ts
@@ -4,54 +4,56 @@
 import type { AgentContext } from "./agentContext.js";
 import type { QueuedWork, ServiceRow } from "./tables.js";
 
-/** Long work is whatever the document says; without a word on the service everything is short. */
-const noLongWork = Number.POSITIVE_INFINITY;
+/** Cost from which work counts as long when the document does not list the service: all work is short. */
+const defaultLongFromCost = Number.POSITIVE_INFINITY;
 
-/** Lets an offered request wait, or turns it away at once. */
+/** Queues an offered request, or refuses it immediately. */
 export function receiveOffer(context: AgentContext, request: WorkRequest, routerId: string, nowMs: number): void {
     const { tables } = context;
-    // A second offer of a request that is here: the first one's answer serves both, and it must not run twice.
+    // A repeated offer of a queued or running request is ignored: the request must not run twice, and the reply to the
+    // first offer covers both.
     if (tables.running.has(request.id) || tables.getQueued(request.id) !== undefined) {
         return;
     }
-    const refusal = checkKnown(context, request) ?? checkPhase(context, request);
+    const refusal = checkDuplicate(context, request) ?? checkPhase(context, request);
     if (refusal !== undefined) {
         context.refuseRequest(request, refusal);
         return;
     }
     const row = context.getRow(request.service);
     const work = createQueuedWork(context, request, routerId, nowMs);
-    const situation = createSituation(context, row, work, nowMs);
+    const queueState = createQueueState(context, row, work, nowMs);
     const counts = {
         queuedTotal: context.tables.countQueued(),
         queuedOfAccount: row.queue.countWaiting(work.clientAccount),
     };
-    const decision = checkAdmission(situation, counts, context.options, request.deadlineAtMs - nowMs);
+    const decision = checkAdmission(queueState, counts, context.options, request.deadlineAtMs - nowMs);
     if (!decision.admitted) {
         context.refuseRequest(request, {
             reason: decision.reason,
             execution: "not-run",
             retryAfterMs: decision.retryAfterMs,
-            detail: `The target cannot take the request in time (${decision.reason}).`,
+            detail: `The target's admission check refused the request (${decision.reason}).`,
         });
         return;
     }
     addToQueue(context, row, work, nowMs);
-    context.deadlines.set(work.id, computeLatestStartMs(situation, nowMs, request.deadlineAtMs));
+    context.deadlines.set(work.id, computeLatestStartMs(queueState, nowMs, request.deadlineAtMs));
 }
 
 /**
- * An offer that its own withdrawal has overtaken must not start: the router was told "withdrawn" and has moved the
- * request on, so it would run twice. One refusal is enough, as each offer is sent once; a router that offers
- * the request here again does so by choice.
+ * Refuses an offer that arrives after its own withdrawal: the router has received "withdrawn" and may have sent the
+ * request to another agent, so starting it here would run it twice. The id is removed after one refusal, as a router
+ * sends each offer once; a later offer of the same request is a deliberate new one. Also refuses a non-idempotent
+ * request that has already been started here.
  */
-function checkKnown(context: AgentContext, request: WorkRequest): Refusal | undefined {
+function checkDuplicate(context: AgentContext, request: WorkRequest): Refusal | undefined {
     if (context.withdrawn.has(request.id)) {
         context.withdrawn.remove(request.id);
         return createRefusal("duplicate", "not-run", "The request was withdrawn before it arrived.");
     }
     if (!request.idempotent && context.started.has(request.id)) {
-        return createRefusal("duplicate", "unknown", "The request has been started here before.");
+        return createRefusal("duplicate", "unknown", "The request has already been started at this target.");
     }
     return undefined;
 }
@@ -61,7 +63,7 @@
         return createRefusal("stopping", "not-run", "The agent is stopping.");
     }
     if (context.phase !== "serving") {
-        return createRefusal("draining", "not-run", `The target takes no new work (${context.phase}).`);
+        return createRefusal("draining", "not-run", `The target accepts no new requests (phase: ${context.phase}).`);
     }
     if (!context.listServices().includes(request.service)) {
         return createRefusal("no-target", "not-run", "The target does not serve this service.");
@@ -74,13 +76,13 @@
 }
 
 function createQueuedWork(context: AgentContext, request: WorkRequest, routerId: string, nowMs: number): QueuedWork {
-    const longFromCost = context.document?.services[request.service]?.longFromCost ?? noLongWork;
+    const longFromCost = context.document?.services[request.service]?.longFromCost ?? defaultLongFromCost;
     const { cost, charge, workClass, hintClass } = context.estimator.estimate(request, longFromCost);
     const { id, clientAccount } = request;
     return { id, clientAccount, cost, charge, workClass, hintClass, request, routerId, queuedAtMs: nowMs };
 }
 
-function createSituation(context: AgentContext, row: ServiceRow, work: QueuedWork, nowMs: number): QueueState {
+function createQueueState(context: AgentContext, row: ServiceRow, work: QueuedWork, nowMs: number): QueueState {
     const { tables, window } = context;
     const accountWeight = context.getWeight(work.clientAccount);
     const isBacklogged = row.queue.countWaiting(work.clientAccount) > 0;
@@ -98,21 +100,22 @@
 }
 
 /**
- * Whether an account returns from a rest. An agent that has not heard from any router of late cannot tell rest from work
- * elsewhere: after a partition it would take the right of an account that lags for saved-up credit. What such
- * an account may then catch up is limited by the cap.
+ * Whether an account returns from an idle period, so that its service must be raised to that of the active accounts. An
+ * agent that has received no exchange for `idleAfterMs` cannot distinguish an idle account from one that is served by
+ * other agents: after a partition it would treat an account that is owed service as one with saved-up credit. Such an
+ * account is not raised here; the catch-up cap limits how much service it may catch up.
  */
-function hasRested(context: AgentContext, row: ServiceRow, clientAccount: string, nowMs: number): boolean {
+function isReturningFromIdle(context: AgentContext, row: ServiceRow, clientAccount: string, nowMs: number): boolean {
     const { lastExchangeAtMs, tables } = context;
     const hasWork = row.queue.countWaiting(clientAccount) + tables.countRunning(row.service, clientAccount) > 0;
-    const hasNews = lastExchangeAtMs === undefined || nowMs - lastExchangeAtMs <= idleAfterMs;
-    return !hasWork && hasNews && row.ledger.isIdle(clientAccount, nowMs);
+    const hasRecentExchange = lastExchangeAtMs === undefined || nowMs - lastExchangeAtMs <= idleAfterMs;
+    return !hasWork && hasRecentExchange && row.ledger.isIdle(clientAccount, nowMs);
 }
 
 function addToQueue(context: AgentContext, row: ServiceRow, work: QueuedWork, nowMs: number): void {
     const { clientAccount, request } = work;
     const { ledger, queue } = row;
-    if (hasRested(context, row, clientAccount, nowMs)) {
+    if (isReturningFromIdle(context, row, clientAccount, nowMs)) {
         const floor = ledger.getRange(queue.listAccounts())?.min ?? ledger.getReturnFloor(nowMs);
         ledger.applyLift(clientAccount, floor, context.nextSequence);
     }
--- a/src/fleet/agent/agentContext.ts
+++ b/src/fleet/agent/agentContext.ts
@@ -16,7 +16,7 @@
 import { startedIdRetentionMs, withdrawnIdRetentionMs, type AgentOptions } from "./agentOptions.js";
 import { AgentTables, type QueuedWork, type ServiceRow } from "./tables.js";
 
-/** What the systems of an agent's core share: its tables, its decisions, and the effects of this step. */
+/** State shared by the systems of an agent's core: tables, decision components, and the effects of the current step. */
 export class AgentContext {
     public readonly tables = new AgentTables();
     public readonly window = new ConcurrencyWindow();
@@ -24,31 +24,32 @@
     public readonly pause = new TargetPause();
     public readonly reserve = new ShortReserve();
     public readonly estimator = new CostEstimator();
-    /** Queued requests by the time at which they must have started. */
+    /** Ids of queued requests by the latest time at which each may start; milliseconds. */
     public readonly deadlines = new IndexedHeap<string>();
     public readonly started: RecentIds;
     public readonly withdrawn: RecentIds;
-    /** Newest last. */
+    /** Hashes of the prompt prefixes of recently started requests, most recent last. */
     public readonly cachedPrefixes = new Map<string, true>();
     public document: EnvironmentDocument | undefined;
     public documentOffset = -1;
-    /** Nothing starts before the first document: the target's limits are not known until then. */
+    /** Nothing starts before the first document arrives, as it holds the target's limits. */
     public phase: AgentPhase = "draining";
     /**
-     * Number of the next report. It begins at the incarnation (a time in milliseconds), so that numbers acknowledged to
-     * an earlier incarnation are smaller; else a router's old acknowledgement would hide this one's first charges.
+     * Sequence number of the next report. It starts at the incarnation (a time in milliseconds), so that sequence
+     * numbers acknowledged to an earlier incarnation are smaller. Otherwise an old acknowledgement would exclude this
+     * incarnation's first charges from reports.
      */
     public nextSequence: number;
     public startCount = 0;
-    /** Smoothed time between two exchanges with one router; milliseconds. Undefined before two have come. */
+    /** Smoothed time between two exchanges with the same router; milliseconds. Undefined before the second exchange. */
     public exchangePeriodMs: number | undefined;
-    /** When each router's exchange came last. */
+    /** Time of the last exchange received from each router, by router id; milliseconds. */
     public readonly lastExchangeAtMsByRouter = new Map<string, number>();
-    /** When an exchange last came from any router; undefined before the first. */
+    /** Time at which claims were last received from any router; milliseconds. Undefined before the first. */
     public lastExchangeAtMs: number | undefined;
-    /** When calls of plain services were last charged for their time. */
+    /** Time at which running calls of plain services were last charged for their elapsed time; milliseconds. */
     public elapsedChargedAtMs = Number.NEGATIVE_INFINITY;
-    /** Smoothed time of one request; milliseconds. */
+    /** Smoothed duration of a completed request; milliseconds. 0 before the first. */
     public serviceTimeMs = 0;
     private effects: AgentEffect[] = [];
 
@@ -64,16 +65,16 @@
         this.withdrawn = new RecentIds({ retentionMs: withdrawnIdRetentionMs, maxIds: options.maxWithdrawnIds });
     }
 
-    /** Adds an effect to this step's. */
+    /** Adds an effect to those of the current step. */
     public addEffect(effect: AgentEffect): void {
         this.effects.push(effect);
     }
 
-    /** Takes the effects of this step. */
+    /** Returns the effects of the current step and clears them. */
     public takeEffects(): readonly AgentEffect[] {
-        const taken = this.effects;
+        const pending = this.effects;
         this.effects = [];
-        return taken;
+        return pending;
     }
 
     /** Records an event of this agent's target. */
@@ -82,13 +83,16 @@
         this.recorder.record({ target: targetName, dataCentre, ...event });
     }
 
-    /** Records an event of a request. */
+    /** Records an event that concerns a request. */
     public recordRequest(kind: FleetEventInput["kind"], request: WorkRequest, more: Partial<FleetEventInput>): void {
         const { id: requestId, clientAccount, service } = request;
         this.record({ kind, requestId, clientAccount, service, ...more });
     }
 
-    /** What the target serves: by the document once there is one. */
+    /**
+     * Services of the target: those in the document, or those of the agent's identity while the document lacks the
+     * target.
+     */
     public listServices(): readonly string[] {
         return this.document?.targets[this.identity.targetName]?.services ?? this.identity.services;
     }
@@ -98,9 +102,9 @@
     }
 
     public getRow(service: string): ServiceRow {
-        const known = this.tables.services.get(service);
-        if (known !== undefined) {
-            return known;
+        const existing = this.tables.services.get(service);
+        if (existing !== undefined) {
+            return existing;
         }
         const row: ServiceRow = {
             service,
@@ -115,12 +119,12 @@
         return row;
     }
 
-    /** Tells the queue an account's present normalized service. */
+    /** Updates an account's position in the queue after a change of its normalized service. */
     public updateQueue(row: ServiceRow, clientAccount: string): void {
         row.queue.updateAccount(clientAccount, row.ledger.getExpectedService(clientAccount));
     }
 
-    /** Takes a request out of the queue for good. */
+    /** Removes a request from the queue and from the start deadlines. */
     public removeQueued(work: QueuedWork, nowMs: number): void {
         const row = this.getRow(work.request.service);
         row.queue.remove(work.id);
@@ -128,20 +132,20 @@
         row.ledger.recordActivity(work.clientAccount, nowMs);
     }
 
-    /** Turns a request away that never started here. */
+    /** Refuses an offered or queued request. */
     public refuseRequest(request: WorkRequest, refusal: Refusal): void {
         this.recordRequest("request-refused", request, { reason: refusal.reason, execution: refusal.execution });
         this.addEffect({ type: "refuseWork", requestId: request.id, refusal });
     }
 
-    /** Hands a queued request back. */
+    /** Removes a queued request and reports it to its router as withdrawn. */
     public withdrawQueued(work: QueuedWork, reason: string, nowMs: number): void {
         this.removeQueued(work, nowMs);
         this.recordRequest("request-withdrawn", work.request, { reason, execution: "not-run" });
         this.addEffect({ type: "workWithdrawn", requestId: work.id });
     }
 
-    /** Records the window after a change. */
+    /** Records the window's new limit if `reason` names a change. */
     public recordWindow(reason: string | undefined): void {
         if (reason !== undefined) {
             this.record({ kind: "window-changed", reason, value: this.window.limit });
--- a/src/fleet/agent/agentCore.ts
+++ b/src/fleet/agent/agentCore.ts
@@ -18,10 +18,10 @@
 export { defaultAgentOptions, type AgentOptions } from "./agentOptions.js";
 
 /**
- * The deterministic core of role agent: the only authority on what starts at its target, and when.
+ * The deterministic core of the agent role. It alone decides which requests start at its target, and when.
  *
- * Each message changes the tables; then the systems run in a fixed order: expired requests leave, late first outputs
- * are judged, and what may start is started.
+ * Each message changes the tables; then the systems run in a fixed order: expired requests are refused, overdue first
+ * outputs are detected, charges expected from other agents are added, and waiting requests are started.
  */
 export class AgentCore implements Core<AgentMessage, AgentEffect> {
     private readonly context: AgentContext;
@@ -60,22 +60,27 @@
         ]);
     }
 
-    /** What the agent lets routers do with it now. */
+    /** Current phase, which determines whether routers may offer requests to this agent. */
     public get phase(): AgentPhase {
         return this.context.phase;
     }
 
-    /** The report for a peer that has acknowledged up to a sequence; with all counters when it has acknowledged none. */
+    /**
+     * Report for a router: the counters that changed since the acknowledged sequence number, or all counters without
+     * one.
+     */
     public createReport(acknowledgedSequence: number | undefined): AgentReport {
-        // A number that was never given out was acknowledged to another incarnation and says nothing of this one.
+        // A sequence number that this incarnation has not issued yet was acknowledged to another incarnation.
+        // It is ignored.
         const isOwn = acknowledgedSequence !== undefined && acknowledgedSequence < this.context.nextSequence;
         const since = isOwn ? acknowledgedSequence : undefined;
         return { ...this.createBriefReport(), counters: this.listCounters(since) };
     }
 
     /**
-     * A report without counters, for answers: with 350 accounts the counters of one report weigh tens of kilobytes.
-     * It takes a sequence number like any other, so a receiver must take the counters of reports that it overtakes.
+     * Report without counters, for replies: with 350 accounts the counters of one report take tens of kilobytes. It
+     * uses up a sequence number like any other report, so a receiver must still merge the counters of reports with
+     * lower sequence numbers that arrive after it.
      */
     public createBriefReport(): AgentReport {
         const { context } = this;
@@ -96,14 +101,14 @@
         };
     }
 
-    /** A small report to go along with an answer: with the one account's counter, without prefix hashes. */
+    /** Small report that is sent with a reply: with the counter of one account and without prefix hashes. */
     public createAnswerReport(service: string, clientAccount: string): BriefReport {
         const counter = this.context.tables.services.get(service)?.ledger.getCounter(clientAccount);
         const counters = counter === undefined ? [] : [{ service, ...counter }];
         return { ...this.createBriefReport(), counters, cachedPrefixes: undefined };
     }
 
-    /** The accounts' shares as this agent knows them. */
+    /** Weight, service, waiting and running requests of each account at each service, as recorded by this agent. */
     public listShares(): readonly ClientShare[] {
         const { context } = this;
         return [...context.tables.services.values()].flatMap(({ service, ledger, queue }) =>
--- a/src/fleet/agent/agentOptions.ts
+++ b/src/fleet/agent/agentOptions.ts
@@ -1,20 +1,20 @@
-/** What an agent's core can be set to. */
+/** Limits of an agent's core; all are counts. */
 export interface AgentOptions {
-    /** Requests that may wait at this agent in all. */
+    /** Maximum of requests waiting at this agent, over all accounts. */
     readonly maxQueuedTotal: number;
-    /** Requests of one account that may wait at this agent. */
+    /** Maximum of requests of one account waiting at this agent. */
     readonly maxQueuedPerAccount: number;
-    /** Requests remembered after they started; see IdMemory. */
+    /** Maximum of ids of started requests that are kept; see `RecentIds`. */
     readonly maxStartedIds: number;
-    /** Withdrawn requests remembered in case their offer comes late. */
+    /** Maximum of ids of withdrawn requests that are kept, in case their offer arrives late. */
     readonly maxWithdrawnIds: number;
-    /** Prefix hashes told to routers. */
+    /** Maximum of prefix hashes reported to routers. */
     readonly maxCachedPrefixes: number;
 }
 
 /**
- * Routers offer two requests per account and agent, so 100 routers with 16 accounts make 3,200 at most; the bounds
- * only protect the process's memory (a queued request takes under a kilobyte in the core).
+ * Default limits. Routers offer two requests per account and agent, so 100 routers with 16 accounts offer at most
+ * 3,200. The limits only protect the process's memory (a queued request takes less than a kilobyte in the core).
  */
 export const defaultAgentOptions: AgentOptions = {
     maxQueuedTotal: 10_000,
@@ -24,8 +24,11 @@
     maxCachedPrefixes: 32,
 };
 
-/** A started request is remembered for the longest deadline a document may set, since routers ask until then. */
+/**
+ * The id of a started request is kept for the maximum deadline that a document may set, as routers may send a
+ * withdrawal until then; milliseconds.
+ */
 export const startedIdRetentionMs = 3_600_000;
 
-/** An offer that was overtaken by its withdrawal arrives within this time or its connection has failed. */
+/** An offer that arrives after its withdrawal does so within this time, or its connection has failed; milliseconds. */
 export const withdrawnIdRetentionMs = 60_000;
--- a/src/fleet/agent/chargeSystem.ts
+++ b/src/fleet/agent/chargeSystem.ts
@@ -3,11 +3,11 @@
 import type { AgentContext } from "./agentContext.js";
 import type { RunningWork } from "./tables.js";
 
-const smoothing = 0.1;
-/** Calls that run long are looked at this often, as looking costs a step for each that runs; milliseconds. */
+const smoothingFactor = 0.1;
+/** Minimum time between two checks of the running calls, as a check visits each of them; milliseconds. */
 const elapsedCheckEveryMs = 100;
 
-/** Charges what a running request has cost beyond its estimate. */
+/** Adds generated tokens to a running request, and charges a model request for its cost beyond the estimate. */
 export function chargeProgress(context: AgentContext, requestId: string, tokens: number): void {
     const work = context.tables.running.get(requestId);
     if (work === undefined) {
@@ -20,8 +20,8 @@
 }
 
 /**
- * Charges calls of plain services that have run beyond their estimate. Their cost is time, which passes without a
- * message; it is enough to look when a slot is given away, since only then does the order of accounts matter.
+ * Charges calls of plain services that have run longer than estimated. Their cost is elapsed time, which no message
+ * reports. Checking when a slot is freed is enough, as the order of accounts matters only then.
  */
 export function chargeElapsed(context: AgentContext, nowMs: number): void {
     if (nowMs - context.elapsedChargedAtMs < elapsedCheckEveryMs) {
@@ -36,7 +36,7 @@
     }
 }
 
-/** The final count of a request that ended. */
+/** Outcome and final token counts of a request that ended; `pauseMs` is the pause that the target asked for. */
 export interface RunResult {
     readonly outcome: RunOutcome;
     readonly promptTokens: number;
@@ -44,31 +44,31 @@
     readonly pauseMs?: number;
 }
 
-/** Corrects the charge of an ended request to what it did cost, and learns from it. */
-export function chargeFinal(context: AgentContext, work: RunningWork, final: RunResult, nowMs: number): number {
+/** Corrects the charge of an ended request to its actual cost and updates the estimates. Returns the actual cost. */
+export function chargeFinal(context: AgentContext, work: RunningWork, result: RunResult, nowMs: number): number {
     const { request } = work;
     const row = context.getRow(request.service);
     const elapsedMs = nowMs - work.startedAtMs;
-    const cost = computeFinalCost(work, final, elapsedMs);
+    const cost = computeFinalCost(work, result, elapsedMs);
     const charged = chargeUpTo(context, work, cost);
     if (charged.chargedCost > cost) {
         const refund = (charged.chargedCost - cost) / work.weight;
         row.ledger.recordRefund(request.clientAccount, refund, context.nextSequence);
         context.updateQueue(row, request.clientAccount);
     }
-    if (final.outcome === "completed") {
-        const amount = request.kind === "model" ? final.generatedTokens : elapsedMs;
+    if (result.outcome === "completed") {
+        const amount = request.kind === "model" ? result.generatedTokens : elapsedMs;
         context.estimator.observe(request, work.hintClass, amount);
         observeDuration(context, work, cost, elapsedMs);
     }
     return cost;
 }
 
-function computeFinalCost(work: RunningWork, final: RunResult, elapsedMs: number): number {
-    if (final.outcome === "refused-by-target") {
+function computeFinalCost(work: RunningWork, result: RunResult, elapsedMs: number): number {
+    if (result.outcome === "refused-by-target") {
         return 0;
     }
-    return work.request.kind === "model" ? computeModelCost(final.promptTokens, final.generatedTokens) : elapsedMs;
+    return work.request.kind === "model" ? computeModelCost(result.promptTokens, result.generatedTokens) : elapsedMs;
 }
 
 function chargeUpTo(context: AgentContext, work: RunningWork, cost: number): RunningWork {
@@ -92,5 +92,5 @@
     }
 }
 
-const smooth = (before: number | undefined, sample: number): number =>
-    before === undefined ? sample : before + smoothing * (sample - before);
+const smooth = (average: number | undefined, sample: number): number =>
+    average === undefined ? sample : average + smoothingFactor * (sample - average);
--- a/src/fleet/agent/claimSystem.ts
+++ b/src/fleet/agent/claimSystem.ts
@@ -1,17 +1,18 @@
 import type { ServiceCounter } from "../entities.js";
 import type { AgentContext } from "./agentContext.js";
 
-const smoothing = 0.2;
+const smoothingFactor = 0.2;
 /**
- * Bounds on the time that counts as without news; between them it is the exchange's period. A shorter one
- * takes accounts for idle between two exchanges; with a longer one small accounts wait longer.
+ * Limits of the horizon, the window in which other agents may have charged an account without their claims having
+ * arrived yet; within the limits it equals the exchange period. With a shorter horizon accounts appear idle between two
+ * exchanges; with a longer one small accounts wait longer. Milliseconds.
  */
-const leastHorizonMs = 250;
-const greatestHorizonMs = 10_000;
-const usualPeriodMs = 1_000;
-const mostRouters = 1_000;
+const minHorizonMs = 250;
+const maxHorizonMs = 10_000;
+const defaultExchangePeriodMs = 1_000;
+const maxTrackedRouters = 1_000;
 
-/** Takes what other agents have charged, as a router knows it. */
+/** Merges the charges of other agents, as sent by a router. */
 export function receiveClaims(
     context: AgentContext,
     routerId: string,
@@ -19,7 +20,7 @@
     source: "exchange" | "work",
     nowMs: number,
 ): void {
-    // Claims that come along with work carry one account's counters; how often they come says nothing of the exchange.
+    // Claims sent with an offer carry the counters of one account; their frequency is unrelated to the exchange period.
     if (source === "exchange") {
         observePeriod(context, routerId, nowMs);
     }
@@ -32,9 +33,9 @@
     }
 }
 
-/** Counts charges that others have probably made since their last news. */
+/** Adds the charges that other agents have probably made since their last claims. */
 export function advanceHorizons(context: AgentContext, nowMs: number): void {
-    const horizonMs = Math.max(leastHorizonMs, context.exchangePeriodMs ?? usualPeriodMs);
+    const horizonMs = Math.max(minHorizonMs, context.exchangePeriodMs ?? defaultExchangePeriodMs);
     for (const row of context.tables.services.values()) {
         if (row.queue.size > 0 && row.ledger.advanceHorizon(nowMs, horizonMs)) {
             row.queue.listAccounts().forEach(clientAccount => context.updateQueue(row, clientAccount));
@@ -43,15 +44,15 @@
 }
 
 function observePeriod(context: AgentContext, routerId: string, nowMs: number): void {
-    const before = context.lastExchangeAtMsByRouter.get(routerId);
-    // Routers come and go under new names.
-    if (context.lastExchangeAtMsByRouter.size >= mostRouters) {
+    const previousAtMs = context.lastExchangeAtMsByRouter.get(routerId);
+    // Restarted routers get new ids, so old ids would accumulate.
+    if (context.lastExchangeAtMsByRouter.size >= maxTrackedRouters) {
         context.lastExchangeAtMsByRouter.clear();
     }
     context.lastExchangeAtMsByRouter.set(routerId, nowMs);
-    if (before !== undefined) {
-        const periodMs = Math.min(greatestHorizonMs, nowMs - before);
+    if (previousAtMs !== undefined) {
+        const periodMs = Math.min(maxHorizonMs, nowMs - previousAtMs);
         const smoothed = context.exchangePeriodMs ?? periodMs;
-        context.exchangePeriodMs = smoothed + smoothing * (periodMs - smoothed);
+        context.exchangePeriodMs = smoothed + smoothingFactor * (periodMs - smoothed);
     }
 }
--- a/src/fleet/agent/expireSystem.ts
+++ b/src/fleet/agent/expireSystem.ts
@@ -1,7 +1,7 @@
 import { toRetryAfterMs } from "../../decisions/admission/expectedWait.js";
 import type { AgentContext } from "./agentContext.js";
 
-/** Turns away what can no longer be answered by its deadline: a slot spent on it would be lost for all. */
+/** Refuses queued requests that can no longer complete by their deadline: a slot used for them would be wasted. */
 export function refuseExpired(context: AgentContext, nowMs: number): void {
     let next = context.deadlines.getMin();
     while (next !== undefined && next.priority <= nowMs) {
@@ -13,7 +13,7 @@
                 reason: "deadline",
                 execution: "not-run",
                 retryAfterMs: toRetryAfterMs(context.serviceTimeMs),
-                detail: "The request has waited too long to be answered by its deadline.",
+                detail: "The request has waited too long to complete by its deadline.",
             });
         }
         next = context.deadlines.getMin();
--- a/src/fleet/agent/phaseSystem.ts
+++ b/src/fleet/agent/phaseSystem.ts
@@ -2,14 +2,14 @@
 import type { AgentIdentity, AgentPhase } from "../entities.js";
 import type { AgentContext } from "./agentContext.js";
 
-/** Takes a newer document: weights, limits, and whether the target serves. */
+/** Applies a newer document: weights, limits, and the phase of the target. */
 export function receiveDocument(
     context: AgentContext,
     offset: number,
     document: EnvironmentDocument,
     nowMs: number,
 ): void {
-    // An older document that arrives late must not bring back what was taken away.
+    // An older document that arrives late must not put a data centre or target back into service.
     if (offset <= context.documentOffset) {
         return;
     }
@@ -24,7 +24,7 @@
     }
 }
 
-/** The process was told to stop; there is no way back from it. */
+/** Handles the signal to stop; the agent never returns from phase `leaving`. */
 export function receiveLeaving(context: AgentContext, nowMs: number): void {
     setPhase(context, "leaving", nowMs);
 }
--- a/src/fleet/agent/runSystem.ts
+++ b/src/fleet/agent/runSystem.ts
@@ -4,16 +4,18 @@
 import type { Execution } from "../entities.js";
 import type { RunningWork } from "./tables.js";
 
-/** Notes the first output of a run: the window's and the circuit's measure of the target. */
+/**
+ * Records the first output of a run; the window and the circuit breaker use its delay as a measurement of the target.
+ */
 export function receiveFirstOutput(context: AgentContext, requestId: string, nowMs: number): void {
     const work = context.tables.running.get(requestId);
     if (work === undefined || work.firstOutputAtMs !== undefined) {
         return;
     }
-    const isMeasure = context.tables.isAwaitingOutput(requestId);
+    const isMeasured = context.tables.isAwaitingOutput(requestId);
     context.tables.setRunning({ ...work, firstOutputAtMs: nowMs });
     context.circuit.observeFirstOutput();
-    if (!isMeasure) {
+    if (!isMeasured) {
         return;
     }
     const delayMs = nowMs - work.startedAtMs;
@@ -34,28 +36,28 @@
     "refused-by-target": "not-run",
 };
 
-/** Frees the slot of a run that ended and settles its cost. */
-export function receiveEnd(context: AgentContext, requestId: string, final: RunResult, nowMs: number): void {
+/** Frees the slot of a run that ended and corrects its charge to the actual cost. */
+export function receiveEnd(context: AgentContext, requestId: string, result: RunResult, nowMs: number): void {
     const work = context.tables.running.get(requestId);
     if (work === undefined) {
         return;
     }
-    // A short answer may end before its first output was told of; it is a measure all the same.
-    if (final.outcome === "completed") {
+    // A short response may complete before its first output is reported; its delay is measured as well.
+    if (result.outcome === "completed") {
         receiveFirstOutput(context, requestId, nowMs);
     }
-    const cost = chargeFinal(context, work, final, nowMs);
+    const cost = chargeFinal(context, work, result, nowMs);
     context.tables.removeRunning(work);
     context.getRow(work.request.service).ledger.recordActivity(work.request.clientAccount, nowMs);
     context.recordRequest("request-ended", work.request, {
-        reason: final.outcome,
-        execution: executions[final.outcome],
+        reason: result.outcome,
+        execution: executions[result.outcome],
         value: cost,
     });
-    observeOutcome(context, work, final, nowMs);
+    observeOutcome(context, work, result, nowMs);
 }
 
-/** Stops a run whose caller has left, unless stopping it could leave a non-idempotent call half done. */
+/** Cancels a run whose caller has disconnected, unless that could leave a non-idempotent call with a key incomplete. */
 export function cancelRunning(context: AgentContext, work: RunningWork): void {
     const mustFinish = !work.request.idempotent && work.request.idempotencyKey !== undefined;
     if (work.cancelRequested || mustFinish) {
@@ -66,7 +68,7 @@
     context.addEffect({ type: "cancelRun", requestId: work.request.id });
 }
 
-/** Takes a first output that is overdue as a sign of cold, without waiting for it. */
+/** Treats an overdue first output as a sign that the target is cold, without waiting for the output. */
 export function checkLateOutputs(context: AgentContext, nowMs: number): void {
     const lateAtMs = getLateCheckAtMs(context);
     if (lateAtMs !== undefined && nowMs >= lateAtMs) {
@@ -77,7 +79,7 @@
     }
 }
 
-/** When the next first output will be overdue; undefined when none is awaited or the target is cold already. */
+/** Time at which the next first output becomes overdue; undefined if none is awaited or the target is already cold. */
 export function getLateCheckAtMs(context: AgentContext): number | undefined {
     const { window, tables } = context;
     if (window.isCold) {
@@ -96,7 +98,7 @@
     return earliest;
 }
 
-/** The target shows that it is cold, or was lost. */
+/** Handles a sign that the target is cold or lost: shrinks the window and clears what is recorded of its caches. */
 export function receiveColdSign(context: AgentContext, reason: string, nowMs: number): void {
     if (context.window.observeColdSign(nowMs) !== undefined) {
         context.recordWindow(`cold: ${reason}`);
@@ -105,33 +107,34 @@
     context.tables.clearAwaitingOutput();
 }
 
-function observeOutcome(context: AgentContext, work: RunningWork, final: RunResult, nowMs: number): void {
+function observeOutcome(context: AgentContext, work: RunningWork, result: RunResult, nowMs: number): void {
     const { id } = work.request;
-    if (final.outcome === "completed") {
+    if (result.outcome === "completed") {
         context.circuit.observeSuccess();
         context.pause.recordResponse();
         context.recordWindow(context.window.observeSuccess(nowMs));
         return;
     }
-    if (final.outcome === "cancelled") {
+    if (result.outcome === "cancelled") {
         context.circuit.observeNeutralEnd(id);
         return;
     }
-    if (final.outcome === "refused-by-target") {
+    if (result.outcome === "refused-by-target") {
         receiveColdSign(context, "refused by target", nowMs);
     }
-    // The target says itself when it takes requests again; counted as a failure, its refusal would close it for longer.
-    if (final.pauseMs !== undefined && final.pauseMs > 0) {
+    // The response names the time after which the target accepts requests again. Counted as a failure, it would open
+    // the circuit for longer than that.
+    if (result.pauseMs !== undefined && result.pauseMs > 0) {
         context.circuit.observeNeutralEnd(id);
-        if (context.pause.record(final.pauseMs, nowMs)) {
+        if (context.pause.record(result.pauseMs, nowMs)) {
             context.record({ kind: "window-changed", reason: "target pauses", value: 0 });
         }
         return;
     }
-    // An engine that turns cold loses its runs, and its load report still tells of the time before. Were the freed slots
-    // filled, the cold engine would get a full load and fall over again. A run that broke off for another reason costs the
-    // window's growth, which comes back within some answers.
-    if (final.outcome === "failed" && work.request.kind === "model") {
+    // An engine that turns cold loses its runs, while its load report still shows the state before. Filling the freed
+    // slots would put full load on the cold engine and make it fail again. If a run failed for another reason, the
+    // window shrinks without need, but it grows back within a few responses.
+    if (result.outcome === "failed" && work.request.kind === "model") {
         receiveColdSign(context, "run broke off", nowMs);
     }
     if (context.circuit.observeFailure(id, nowMs)) {
--- a/src/fleet/agent/startSystem.ts
+++ b/src/fleet/agent/startSystem.ts
@@ -1,7 +1,7 @@
 import type { AgentContext } from "./agentContext.js";
 import type { QueuedWork, RunningWork, ServiceRow } from "./tables.js";
 
-/** Starts waiting work while the target has room, the backlogged account with the least service first. */
+/** Starts waiting requests while the target has free slots, those of the account with the least service first. */
 export function startWork(context: AgentContext, nowMs: number): void {
     while (canStart(context, nowMs)) {
         const allowLong = canStartLong(context, nowMs);
@@ -9,15 +9,15 @@
         if (row === undefined) {
             return;
         }
-        const work = takeNext(context, row, allowLong, nowMs);
+        const work = takeNextRequest(context, row, allowLong, nowMs);
         if (work === undefined) {
             return;
         }
-        startOne(context, row, work, nowMs);
+        startRequest(context, row, work, nowMs);
     }
 }
 
-/** Whether long work waits that only the reserve for short work holds back. */
+/** Whether long requests wait only because the free slots are reserved for short ones. */
 export function isLongHeldBack(context: AgentContext, nowMs: number): boolean {
     if (!canStart(context, nowMs) || canStartLong(context, nowMs)) {
         return false;
@@ -45,8 +45,8 @@
 }
 
 /**
- * The service that goes next: the one with the fewest running requests, then the one that has not started for
- * longest. Units of different services cannot be compared, so services share a target's slots evenly.
+ * Chooses the service that starts next: the one with the fewest running requests, then the one whose last start is the
+ * oldest. Cost units of different services cannot be compared, so services share a target's slots evenly.
  */
 function chooseService(context: AgentContext, allowLong: boolean): ServiceRow | undefined {
     let chosen: ServiceRow | undefined;
@@ -54,19 +54,26 @@
         if (row.queue.getNext(allowLong) === undefined) {
             continue;
         }
-        const isBefore =
+        const isBeforeChosen =
             chosen === undefined ||
             row.running < chosen.running ||
             (row.running === chosen.running && row.lastStartNumber < chosen.lastStartNumber);
-        if (isBefore) {
+        if (isBeforeChosen) {
             chosen = row;
         }
     }
     return chosen;
 }
 
-/** Takes the next request, after lifting accounts that lag beyond the cap on catching up. */
-function takeNext(context: AgentContext, row: ServiceRow, allowLong: boolean, nowMs: number): QueuedWork | undefined {
+/**
+ * Takes the next request from the queue, after raising accounts whose service is below the floor of the catch-up cap.
+ */
+function takeNextRequest(
+    context: AgentContext,
+    row: ServiceRow,
+    allowLong: boolean,
+    nowMs: number,
+): QueuedWork | undefined {
     const { queue, ledger, cap } = row;
     if (cap.isSampleDue(nowMs)) {
         cap.observeMaxService(ledger.getRange(queue.listAccounts())?.max ?? 0, nowMs);
@@ -83,7 +90,7 @@
     return queue.take(allowLong);
 }
 
-function startOne(context: AgentContext, row: ServiceRow, work: QueuedWork, nowMs: number): void {
+function startRequest(context: AgentContext, row: ServiceRow, work: QueuedWork, nowMs: number): void {
     const { request, clientAccount, workClass, hintClass, charge } = work;
     const { tables } = context;
     const weight = context.getWeight(clientAccount);
--- a/src/fleet/agent/tables.ts
+++ b/src/fleet/agent/tables.ts
@@ -4,25 +4,25 @@
 import { LinkedList, type LinkedListNode } from "../../decisions/admission/linkedList.js";
 import type { WorkClass, WorkRequest } from "../entities.js";
 
-/** A request that waits at this agent. */
+/** A request queued at this agent. */
 export interface QueuedWork extends QueuedItem {
     readonly request: WorkRequest;
     readonly routerId: string;
     readonly workClass: WorkClass;
     readonly hintClass: WorkClass;
-    /** Charged when it starts, in the service's unit. */
+    /** Estimated cost that is charged at the start, in the service's cost unit. */
     readonly charge: number;
     readonly queuedAtMs: number;
 }
 
-/** A request that was given to the target and has not ended. */
+/** A request that was sent to the target and has not ended. */
 export interface RunningWork {
     readonly request: WorkRequest;
     readonly workClass: WorkClass;
     readonly hintClass: WorkClass;
-    /** Weight at the start; charges and refunds of one request use the same. */
+    /** Account's weight at the start; all charges and refunds of the request use it, even if the document changes. */
     readonly weight: number;
-    /** Cost charged so far, in the service's unit. */
+    /** Cost charged so far, in the service's cost unit. */
     readonly chargedCost: number;
     readonly generatedTokens: number;
     readonly startedAtMs: number;
@@ -30,16 +30,16 @@
     readonly cancelRequested: boolean;
 }
 
-/** What the agent holds of one service. */
+/** Queue, accounting and measurements of one service. */
 export interface ServiceRow {
     readonly service: string;
     readonly queue: FairQueue<QueuedWork>;
     readonly ledger: ServiceLedger;
     readonly cap: CatchUpCap;
     readonly running: number;
-    /** Number of the last start, for taking turns between services. */
+    /** Number of the service's last start among all starts of the agent; used to alternate between services. */
     readonly lastStartNumber: number;
-    /** Smoothed time per unit of cost in one slot; milliseconds. */
+    /** Smoothed time per unit of cost in one slot; milliseconds. Undefined before the first completed request. */
     readonly msPerCost: number | undefined;
 }
 
@@ -51,7 +51,7 @@
 /** All rows of an agent's core. Rows are replaced, never changed in place. */
 export class AgentTables {
     public readonly running = new Map<string, RunningWork>();
-    /** Running requests that have given nothing yet, oldest first in each class. */
+    /** Running requests without output so far, oldest first in each class. */
     private readonly awaiting = { short: new LinkedList<RunningWork>(), long: new LinkedList<RunningWork>() };
     private readonly awaitingNodes = new Map<string, LinkedListNode<RunningWork>>();
     public readonly services = new Map<string, ServiceRow>();
@@ -90,7 +90,7 @@
         this.updateCounts(work, 1);
     }
 
-    /** Replaces a row that is there already. */
+    /** Replaces the row of a running request. */
     public setRunning(work: RunningWork): void {
         this.running.set(work.request.id, work);
         if (work.firstOutputAtMs !== undefined) {
@@ -102,7 +102,9 @@
         return this.awaitingNodes.has(id);
     }
 
-    /** Judges no first output of the requests that run now: they ran into a cold start, which was noticed. */
+    /**
+     * Stops measuring first outputs of the running requests: the cold start that delays them has already been detected.
+     */
     public clearAwaitingOutput(): void {
         for (const [id, node] of [...this.awaitingNodes]) {
             this.awaitingNodes.delete(id);
@@ -110,7 +112,7 @@
         }
     }
 
-    /** The request of a class that has waited longest for its first output. */
+    /** The request of a class that has been waiting longest for its first output. */
     public getAwaitingOutput(workClass: WorkClass): RunningWork | undefined {
         return this.awaiting[workClass].getFirst();
     }
--- a/src/fleet/agent/withdrawSystem.ts
+++ b/src/fleet/agent/withdrawSystem.ts
@@ -1,7 +1,7 @@
 import type { AgentContext } from "./agentContext.js";
 import { cancelRunning } from "./runSystem.js";
 
-/** Gives a request back to its router if it has not started. */
+/** Withdraws a request on behalf of its router if it has not started. */
 export function receiveWithdraw(
     context: AgentContext,
     requestId: string,
@@ -13,8 +13,9 @@
         context.withdrawQueued(work, "asked for", nowMs);
         return;
     }
-    // An earlier incarnation may have started the request, and one that ended long ago may have been forgotten for want
-    // of room. While that can be, "never started" would be a guess, and a wrong guess lets the request run twice.
+    // An earlier incarnation may have started the request, or its id may have been evicted from the recent ids. In
+    // these cases the agent cannot confirm that the request never started, and a wrong confirmation would let it run
+    // twice.
     const isOther = incarnation !== undefined && incarnation !== context.identity.incarnation;
     if (isOther || context.started.has(requestId) || !context.started.isComplete(nowMs)) {
         context.addEffect({ type: "withdrawRefused", requestId });
@@ -25,7 +26,7 @@
     context.addEffect({ type: "workWithdrawn", requestId });
 }
 
-/** The caller or its router is gone. */
+/** Cancels a request whose caller or router has disconnected. */
 export function receiveCancel(context: AgentContext, requestId: string, nowMs: number): void {
     const running = context.tables.running.get(requestId);
     if (running !== undefined) {
