--- a/test/fleet/agentCore.property.test.ts
+++ b/test/fleet/agentCore.property.test.ts
@@ -16,7 +16,7 @@
           readonly account: number;
           readonly long: boolean;
           readonly plain: boolean;
-          readonly patience: number;
+          readonly remainingMs: number;
       }
     | { readonly type: "withdraw" | "cancel" | "firstOutput" | "reoffer"; readonly pick: number }
     | { readonly type: "end"; readonly pick: number; readonly outcome: RunOutcome; readonly tokens: number }
@@ -39,7 +39,7 @@
             account,
             long: fc.boolean(),
             plain: fc.boolean(),
-            patience: fc.integer({ min: 1, max: 30_000 }),
+            remainingMs: fc.integer({ min: 1, max: 30_000 }),
         }),
     },
     { weight: 8, arbitrary: fc.record({ type: fc.constant("end" as const), pick, outcome, tokens: fc.nat(3_000) }) },
@@ -83,22 +83,22 @@
     { weight: 8, arbitrary: fc.record({ type: fc.constant("advance" as const), ms: fc.nat(2_500) }) },
 );
 
-/** What a router and a target know of one agent, kept apart from the agent's own tables. */
+/** Tracks one agent from outside, as its router and target see it, independently of the agent's own tables. */
 class AgentObserver {
     public readonly recorder = new ListRecorder();
     public readonly agent: AgentCore = createAgent(this.recorder);
     public readonly queued = new Map<string, { readonly deadlineAtMs: number }>();
     public readonly running = new Set<string>();
     private readonly everStarted = new Set<string>();
-    /** Handed back or refused since the last offer. */
-    private readonly givenBack = new Set<string>();
+    /** Ids of requests withdrawn or refused since their last offer. */
+    private readonly returnedIds = new Set<string>();
     private readonly ids: string[] = [];
     private readonly classes = new Map<string, string>();
     private overtakenCount = 0;
     private nowMs = 0;
     private offset = 1;
     private serving = true;
-    private hasLeft = false;
+    private isLeaving = false;
     private lastShortAtMs = Number.NEGATIVE_INFINITY;
 
     public constructor() {
@@ -129,7 +129,7 @@
                 return this.send({ type: "targetLost" });
             case "leave":
                 this.serving = false;
-                this.hasLeft = true;
+                this.isLeaving = true;
                 return this.send({ type: "leaving" });
             case "claims": {
                 const clientAccount = accounts[step.account] ?? "club";
@@ -139,7 +139,7 @@
             }
             case "phase": {
                 this.offset += 1;
-                this.serving = !this.hasLeft && step.dataCentreState === "in" && step.targetState === "serving";
+                this.serving = !this.isLeaving && step.dataCentreState === "in" && step.targetState === "serving";
                 const document = createDocument({ ...limits, ...step });
                 return this.send({ type: "documentAccepted", offset: this.offset, document });
             }
@@ -171,14 +171,15 @@
             clientAccount: accounts[step?.account ?? 0] ?? "club",
             service: step?.plain === true ? "bookings" : "planner",
             kind: step?.plain === true ? "plain" : "model",
-            // A request that is offered again must not start twice; only non-idempotent ones promise that.
+            // Only for non-idempotent requests does the agent guarantee that a repeated offer does not start them
+            // twice.
             idempotent: false,
             maxTokens: step?.long === true ? 2_000 : 50,
             arrivedAtMs: this.nowMs,
-            deadlineAtMs: this.nowMs + (step?.patience ?? 10_000),
+            deadlineAtMs: this.nowMs + (step?.remainingMs ?? 10_000),
         });
         if (!isKnown) {
-            this.givenBack.delete(id);
+            this.returnedIds.delete(id);
             this.queued.set(id, request);
         }
         this.send({ type: "workOffered", request, routerId: "r1" });
@@ -196,7 +197,10 @@
             this.nowMs = Math.max(this.nowMs, dueAtMs);
             this.check(this.agent.tick(this.nowMs));
             const nextAtMs = this.agent.nextTickAtMs();
-            check(nextAtMs === undefined || nextAtMs > this.nowMs, `a timer that was due stays due at ${this.nowMs}`);
+            check(
+                nextAtMs === undefined || nextAtMs > this.nowMs,
+                `the timer is still due after the tick at ${this.nowMs} ms`,
+            );
             dueAtMs = nextAtMs;
         }
         this.nowMs = untilMs;
@@ -226,38 +230,46 @@
         switch (effect.type) {
             case "startWork": {
                 const waiting = this.queued.get(id);
-                check(waiting !== undefined && !this.givenBack.has(id), `${id} started though it was given back`);
+                check(
+                    waiting !== undefined && !this.returnedIds.has(id),
+                    `${id} started after it was withdrawn or refused`,
+                );
                 check(!this.everStarted.has(id), `${id} started twice`);
-                check(this.serving, `${id} started out of service`);
+                check(this.serving, `${id} started while the agent is not serving`);
                 check(waiting.deadlineAtMs > this.nowMs, `${id} started after its deadline`);
                 this.queued.delete(id);
                 this.running.add(id);
                 this.everStarted.add(id);
                 const report = this.agent.createBriefReport();
-                const most = report.cold ? limits.coldLimit : limits.maxConcurrent;
-                check(this.running.size <= Math.min(most, limits.maxConcurrent), `${id} started beyond the window`);
+                const maxRunning = report.cold ? limits.coldLimit : limits.maxConcurrent;
+                check(
+                    this.running.size <= Math.min(maxRunning, limits.maxConcurrent),
+                    `${id} started beyond the window`,
+                );
                 return;
             }
             case "workWithdrawn":
             case "refuseWork":
-                check(!this.running.has(id), `${id} given back while it runs`);
+                check(!this.running.has(id), `${id} withdrawn or refused while it runs`);
                 check(
                     !this.everStarted.has(id) ||
                         (effect.type === "refuseWork" && effect.refusal.execution !== "not-run"),
-                    `${id} called not run though it had started`,
+                    `${id} reported as not run after it had started`,
                 );
-                this.givenBack.add(id);
+                this.returnedIds.add(id);
                 this.queued.delete(id);
                 return;
             case "withdrawRefused":
-                check(this.everStarted.has(id), `${id} kept though it never started`);
+                check(this.everStarted.has(id), `withdrawal of ${id} refused though it never started`);
                 return;
             case "cancelRun":
-                check(this.running.has(id), `${id} cancelled though it does not run`);
+                check(this.running.has(id), `${id} cancelled while it does not run`);
         }
     }
 
-    /** No free slot while work waits, but for long work under the reserve and while the circuit is open. */
+    /**
+     * Checks that no slot is free while requests wait, except for long requests under the reserve and an open circuit.
+     */
     private checkConservation(): void {
         const report = this.agent.createBriefReport();
         const isCircuitOpen = report.window < limits.coldLimit;
@@ -268,7 +280,7 @@
         const isReserved = this.nowMs - this.lastShortAtMs < shortReserveExpiryMs;
         check(
             waiting.every(workClass => workClass === "long" && isReserved),
-            `slots stand free while ${waiting.length} wait`,
+            `slots are free while ${waiting.length} requests wait`,
         );
     }
 
@@ -289,9 +301,10 @@
 }
 
 describe("AgentCore under any sequence of messages", () => {
-    // The caller sees: a request runs once, or is called not run and never runs. Offers, withdrawals, cancellations, ends,
-    // reports, claims and documents come in any order, repeated and late, while time passes and the target turns cold.
-    it("starts each request once at most, inside the window and the phase, and leaves no slot free", () => {
+    // Guards against requests that run twice, or run after they were reported as not run. Offers, withdrawals,
+    // cancellations, ends, reports, claims and documents arrive in any order, repeated and late, while the target turns
+    // cold at times.
+    it("starts each request at most once, only within the window and while serving, and leaves no slot idle", () => {
         fc.assert(
             fc.property(fc.array(command, { minLength: 1, maxLength: 150, size: "max" }), steps => {
                 const observer = new AgentObserver();
@@ -301,9 +314,9 @@
         );
     });
 
-    // The caller sees: its request is served in the end, however much its account has had before. Others flood; claims
-    // raise its service at will. With the catch-up cap it cannot be passed over for ever.
-    it("starts the only request of an account that leads by any amount, while another account floods", () => {
+    // Guards against starvation of an account that was served far more than the others before, by claims of any size,
+    // while another account overloads the target. The catch-up cap limits how long the account has to wait.
+    it("starts the only request of an account that is ahead by any amount, while another overloads the target", () => {
         fc.assert(
             fc.property(
                 fc.integer({ min: 0, max: 1_000_000_000 }),
@@ -325,7 +338,7 @@
                         send({ type: "workOffered", request, routerId: "r1" });
                     };
                     for (let index = 0; index < 600; index += 1) {
-                        offer(`flood-${index}`, "department");
+                        offer(`overload-${index}`, "department");
                     }
                     offer("club", "club");
                     send({ type: "claimsReceived", routerId: "r1", claims: [{ ...claim, charged: lead }] });
@@ -340,10 +353,11 @@
                             generatedTokens: 100,
                         });
                     }
-                    // The window of the cap and eight of the largest cost, in steps that each serve one request.
+                    // The window of the catch-up cap, the idle period, and 12 steps that each serve one request; the
+                    // cap lets an account catch up eight requests of the maximum cost.
                     const boundMs = catchUpWindowMs + idleAfterMs + 12 * stepMs;
-                    check(started.includes("club"), "the account that led was never served");
-                    check(nowMs <= boundMs, `the account that led waited for ${nowMs} ms`);
+                    check(started.includes("club"), "the account that is ahead was never served");
+                    check(nowMs <= boundMs, `the account that is ahead waited ${nowMs} ms`);
                 },
             ),
             { seed: 5, numRuns: 60 },
--- a/test/fleet/agentCore.test.ts
+++ b/test/fleet/agentCore.test.ts
@@ -25,7 +25,7 @@
     );
 
 describe("AgentCore", () => {
-    it("starts nothing before a document, and no more than the cold limit before the target is known to be warm", () => {
+    it("starts nothing before the first document, and at most the cold limit until the target is warm", () => {
         const recorder = new ListRecorder();
         const agent = createAgent(recorder);
         const early = offer(agent, "early", 0);
@@ -58,18 +58,18 @@
         `);
     });
 
-    it("gives a freed slot to the account with the least service over weight", () => {
+    it("gives a freed slot to the account with the least service divided by weight", () => {
         const agent = createWarmAgent({ weights: { department: 2, club: 1 }, maxConcurrent: 1, coldLimit: 1 });
         const order: string[] = [];
-        const note = (effects: readonly string[]): void => {
+        const addStarts = (effects: readonly string[]): void => {
             order.push(...effects.filter(effect => effect.startsWith("start")));
         };
         for (let index = 0; index < 8; index += 1) {
-            note(offer(agent, `department-${index}`, 5_000));
-            note(offer(agent, `club-${index}`, 5_000, { clientAccount: "club" }));
+            addStarts(offer(agent, `department-${index}`, 5_000));
+            addStarts(offer(agent, `club-${index}`, 5_000, { clientAccount: "club" }));
         }
         for (let step = 0; step < 8; step += 1) {
-            note(end(agent, (order[order.length - 1] ?? "").replace("start ", ""), 5_100 + step * 100));
+            addStarts(end(agent, (order[order.length - 1] ?? "").replace("start ", ""), 5_100 + step * 100));
         }
         expect(order).toMatchInlineSnapshot(`
           [
@@ -86,15 +86,15 @@
         `);
     });
 
-    // The caller sees: nothing of the stop. A data centre is taken out while requests wait and run: those that wait are
-    // handed back at once as never started, new ones are refused, those that run go on to their end.
-    it("hands everything back that waits when its data centre is taken out, and serves again when it is back", () => {
+    // Guards against failed requests when a data centre is taken out of service while requests wait and run: waiting
+    // requests are withdrawn at once as not started, new ones are refused, and running ones continue to their end.
+    it("withdraws all waiting requests when its data centre is taken out, and serves again when it is back in", () => {
         const agent = createWarmAgent({ maxConcurrent: 1, coldLimit: 1 });
         const before = [...offer(agent, "a", 5_000), ...offer(agent, "b", 5_000)];
         const out = createDocument({ maxConcurrent: 1, coldLimit: 1, dataCentreState: "out" });
         const taken = formatEffects(agent.handle({ type: "documentAccepted", offset: 2, document: out }, 5_100));
         const during = [...offer(agent, "c", 5_200), ...end(agent, "a", 5_300)];
-        // A late copy of the document from before must not bring the data centre back.
+        // A late copy of the previous document must not put the data centre back into service.
         agent.handle({ type: "documentAccepted", offset: 1, document: createDocument() }, 5_400);
         const stale = offer(agent, "d", 5_400);
         agent.handle({ type: "documentAccepted", offset: 3, document: createDocument() }, 6_000);
@@ -125,9 +125,9 @@
         `);
     });
 
-    // The caller sees: its request runs once. The router withdraws a request and moves it on, while the offer is still
-    // under way to the first agent; the offer arrives after the withdrawal and must not start.
-    it("never starts an offer that its withdrawal has overtaken, and tells the truth about started ones", () => {
+    // Guards against a request that runs twice: the router withdraws it and offers it to another agent while the first
+    // offer is still in transit. That offer arrives after the withdrawal and must not start.
+    it("never starts an offer that arrives after its withdrawal, and refuses to withdraw started requests", () => {
         const agent = createWarmAgent({ maxConcurrent: 1, coldLimit: 1 });
         const withdraw = (requestId: string, incarnation?: number): readonly string[] =>
             formatEffects(agent.handle({ type: "withdrawRequested", requestId, incarnation }, 5_000));
@@ -166,23 +166,25 @@
         `);
     });
 
-    // The caller sees: "not run" only when that is known. The agent starts more requests than it can remember; asked for one
-    // that it may have forgotten, it must not say that it never started.
-    it("does not call an unknown request withdrawn while it may have forgotten one", () => {
+    // Guards against a started request reported as not run: the agent starts more requests than it keeps ids of, so it
+    // must not confirm the withdrawal of a request whose id may have been evicted.
+    it("does not confirm the withdrawal of an unknown request while ids may have been evicted", () => {
         const agent = createAgent(new ListRecorder(), 1, { maxStartedIds: 16 });
         agent.handle({ type: "documentAccepted", offset: 1, document: createDocument() }, 0);
-        const answers: string[] = [];
+        const withdrawEffects: string[] = [];
         for (let index = 0; index < 40; index += 1) {
             offer(agent, `r${index}`, index);
             end(agent, `r${index}`, index);
-            const [answer = ""] = formatEffects(agent.handle({ type: "withdrawRequested", requestId: "r0" }, index));
-            answers.push(answer);
+            const [withdrawEffect = ""] = formatEffects(
+                agent.handle({ type: "withdrawRequested", requestId: "r0" }, index),
+            );
+            withdrawEffects.push(withdrawEffect);
         }
         const hourLater = formatEffects(agent.handle({ type: "withdrawRequested", requestId: "new" }, 3_700_000));
-        expect([new Set(answers), hourLater]).toEqual([new Set(["kept r0"]), ["withdrawn new"]]);
+        expect([new Set(withdrawEffects), hourLater]).toEqual([new Set(["kept r0"]), ["withdrawn new"]]);
     });
 
-    it("cancels a run whose caller left, but lets a non-idempotent one with a key run on", () => {
+    it("cancels a run whose caller disconnected, unless it is non-idempotent and has a key", () => {
         const agent = createWarmAgent();
         const cancel = (requestId: string): readonly string[] =>
             formatEffects(agent.handle({ type: "workCancelled", requestId }, 5_000));
@@ -195,7 +197,7 @@
         `);
     });
 
-    it("refuses what has waited to its deadline, and sleeps until then", () => {
+    it("refuses a request that waits until its deadline, and needs no tick before", () => {
         const agent = createWarmAgent({ maxConcurrent: 1, coldLimit: 1 });
         offer(agent, "a", 5_000);
         offer(agent, "b", 5_000, { deadlineAtMs: 7_000 });
@@ -212,7 +214,7 @@
         expect(agent.nextTickAtMs()).toBeUndefined();
     });
 
-    it("charges the estimate at the start, more as it streams, and corrects at the end", () => {
+    it("charges the estimate at the start, further cost during streaming, and corrects the charge at the end", () => {
         const agent = createWarmAgent({ weights: { department: 2 } });
         const charged = (): unknown => agent.createReport(undefined).counters[0];
         offer(agent, "a", 5_000);
@@ -249,18 +251,19 @@
         expect(agent.createReport(acknowledged).counters).toEqual([]);
     });
 
-    // The callers see: shares that count what a restarted agent gave. A router has acknowledged many reports of the agent's
-    // earlier incarnation; the new one charges before the first exchange and must not take that number for its own.
-    it("tells all its counters to a router that has acknowledged an earlier incarnation only", () => {
-        const old = createWarmAgent();
-        const acknowledged = Array.from({ length: 20 }, () => old.createReport(undefined).sequence).pop();
+    // Guards against lost charges after a restart: a router has acknowledged many reports of the agent's earlier
+    // incarnation. The new incarnation charges before the first exchange and must not take that sequence number for one
+    // of its own.
+    it("reports all counters to a router that has acknowledged only an earlier incarnation", () => {
+        const earlierAgent = createWarmAgent();
+        const acknowledged = Array.from({ length: 20 }, () => earlierAgent.createReport(undefined).sequence).pop();
         const agent = createAgent(new ListRecorder(), 1_000_000);
         agent.handle({ type: "documentAccepted", offset: 1, document: createDocument() }, 0);
         offer(agent, "a", 10);
-        const numbered = Array.from({ length: 30 }, () => agent.createBriefReport().sequence).pop();
-        const counted = [acknowledged, numbered, Number.MAX_SAFE_INTEGER].map(
+        const issued = Array.from({ length: 30 }, () => agent.createBriefReport().sequence).pop();
+        const counterCounts = [acknowledged, issued, Number.MAX_SAFE_INTEGER].map(
             sequence => agent.createReport(sequence).counters.length,
         );
-        expect(counted).toEqual([1, 0, 1]);
+        expect(counterCounts).toEqual([1, 0, 1]);
     });
 });
--- a/test/fleet/agentFairness.test.ts
+++ b/test/fleet/agentFairness.test.ts
@@ -4,56 +4,61 @@
 
 const settleMs = 8_000;
 
-/** The most service that one account was given in any span of `spanMs`; over weight. */
-function findLargestIn(driver: AgentFleetDriver, clientAccount: string, spanMs: number): number {
+/** Maximum service of one account that started in any window of `windowMs`, divided by weight. */
+function findMaxServiceInWindow(driver: AgentFleetDriver, clientAccount: string, windowMs: number): number {
     const starts = driver.starts.filter(start => start.clientAccount === clientAccount);
-    let largest = 0;
-    let sum = 0;
+    let maxService = 0;
+    let service = 0;
     let first = 0;
     for (const start of starts) {
-        sum += start.normalizedCost;
+        service += start.normalizedCost;
         for (
             let oldest = starts[first];
-            oldest !== undefined && oldest.atMs < start.atMs - spanMs;
+            oldest !== undefined && oldest.atMs < start.atMs - windowMs;
             oldest = starts[first]
         ) {
-            sum -= oldest.normalizedCost;
+            service -= oldest.normalizedCost;
             first += 1;
         }
-        largest = Math.max(largest, sum);
+        maxService = Math.max(maxService, service);
     }
-    return largest;
+    return maxService;
 }
 
-interface GapFigures {
+interface GapStatistics {
     readonly gap: number;
     readonly bound: number;
     readonly idleSlotSamples: number;
 }
 
-interface Span {
-    readonly forMs: number;
-    /** Compared: service as the targets delivered it, or as the agents charged it. */
-    readonly by: "delivered" | "charged";
+interface ObservationOptions {
+    readonly durationMs: number;
+    /** Service that is compared: as delivered by the targets, or as charged by the agents. */
+    readonly basis: "delivered" | "charged";
     readonly restarts: readonly { readonly agent: number; readonly atMs: number }[];
 }
 
 /**
- * Observes the greatest gap in service between any two of the accounts, all backlogged, and its bound. The bound is the
- * sum over the two accounts of: one start beyond its turn (the largest cost); what agents may start for it while the
- * news of that is under way; and, for delivered service, twice what it has running, as charge and delivery of a request
- * differ by no more than its estimate. A restart adds what it cuts off and what it had not told.
+ * Measures the maximum gap in service between any two of the accounts, which are all backlogged, and its bound. The
+ * bound is the sum over the two accounts of: one start out of order (the maximum cost); the service that agents may
+ * start while the claims about it are in transit; and, for delivered service, twice the cost of the running requests,
+ * as charge and delivery of a request differ by no more than its estimate. Each restart adds the runs that it aborts
+ * and the charges that were not reported before.
  */
-function observeGap(driver: AgentFleetDriver, accounts: readonly string[], span: Span): GapFigures {
+function measureGap(
+    driver: AgentFleetDriver,
+    accounts: readonly string[],
+    observation: ObservationOptions,
+): GapStatistics {
     const getService = (account: string): number =>
-        span.by === "delivered" ? driver.getDelivered(account) : driver.getCharged(account);
+        observation.basis === "delivered" ? driver.getDelivered(account) : driver.getCharged(account);
     const base = new Map(accounts.map(account => [account, getService(account)]));
     const outstanding = new Map(accounts.map(account => [account, driver.getOutstanding(account)]));
     const startMs = driver.nowMs;
-    const restarts = [...span.restarts].sort((a, b) => a.atMs - b.atMs);
+    const restarts = [...observation.restarts].sort((a, b) => a.atMs - b.atMs);
     let gap = 0;
     let idleSlotSamples = 0;
-    driver.advance(span.forMs, 50, () => {
+    driver.advance(observation.durationMs, 50, () => {
         const gained = accounts.map(account => getService(account) - (base.get(account) ?? 0));
         gap = Math.max(gap, Math.max(...gained) - Math.min(...gained));
         idleSlotSamples += driver.countIdleSlots() > 0 ? 1 : 0;
@@ -66,10 +71,15 @@
     });
     const parts = accounts.map(account => {
         const costs = driver.starts.filter(start => start.clientAccount === account).map(start => start.normalizedCost);
-        const stale = findLargestIn(driver, account, driver.maxStalenessMs);
+        const unreported = findMaxServiceInWindow(driver, account, driver.maxStalenessMs);
         const running = outstanding.get(account) ?? 0;
-        const ofRestarts = span.restarts.length * (stale + 2 * running);
-        return Math.max(0, ...costs) + stale + ofRestarts + (span.by === "delivered" ? 2 * running : 0);
+        const restartAllowance = observation.restarts.length * (unreported + 2 * running);
+        return (
+            Math.max(0, ...costs) +
+            unreported +
+            restartAllowance +
+            (observation.basis === "delivered" ? 2 * running : 0)
+        );
     });
     const [largest = 0, second = 0] = parts.sort((a, b) => b - a);
     return { gap: Math.round(gap), bound: Math.round(largest + second), idleSlotSamples };
@@ -91,11 +101,13 @@
     slotRate: fc.integer({ min: 1, max: 8 }),
 });
 
-/** Costs that differ from request to request; the department's hints are too high or missing, the others' are right. */
+/**
+ * Costs that vary between requests; the hints of `department` are too high or missing, those of the others are exact.
+ */
 const unknownCosts: fc.Arbitrary<Partial<FleetOptions>> = fc
     .tuple(shape, fc.integer({ min: 1, max: 2_000 }), fc.boolean())
-    .map(([choices, spread, hints]) => ({
-        ...choices,
+    .map(([options, spread, hints]) => ({
+        ...options,
         createDemand: ({ clientAccount, random }) => {
             const generatedTokens = 10 + Math.floor(spread * random.next() ** 3);
             const roughHint = hints ? generatedTokens * 2 : undefined;
@@ -104,75 +116,80 @@
         },
     }));
 
-/** One cost for each account, told beforehand: what is left of the gap is due to turns and news alone. */
+/**
+ * One cost per account, given with the request: the remaining gap is due to the start order and delayed claims only.
+ */
 const knownCosts: fc.Arbitrary<Partial<FleetOptions>> = fc
     .tuple(shape, fc.array(fc.integer({ min: 10, max: 1_000 }), { minLength: 3, maxLength: 3 }))
-    .map(([choices, tokens]) => ({
-        ...choices,
+    .map(([options, tokens]) => ({
+        ...options,
         createDemand: ({ clientAccount }) => {
             const generatedTokens = tokens[["department", "middle", "club"].indexOf(clientAccount)] ?? 100;
             return { promptTokens: 50, maxTokens: generatedTokens, generatedTokens };
         },
     }));
 
-const restartsOf = fc.array(fc.record({ agent: fc.nat(4), atMs: fc.integer({ min: 0, max: 40_000 }) }), {
+const restartLists = fc.array(fc.record({ agent: fc.nat(4), atMs: fc.integer({ min: 0, max: 40_000 }) }), {
     maxLength: 3,
 });
 
-function checkGap(choices: Partial<FleetOptions>, span: Span): void {
-    const driver = new AgentFleetDriver(choices);
-    const accounts = Object.keys(choices.weights ?? {});
-    // The club reaches one agent only; its share fits there, so the others must leave it room on account of what they
-    // get elsewhere.
+function checkGap(options: Partial<FleetOptions>, observation: ObservationOptions): void {
+    const driver = new AgentFleetDriver(options);
+    const accounts = Object.keys(options.weights ?? {});
+    // The account `club` sends to one agent only. Its share fits there, so that agent must serve the other accounts
+    // less, according to what they are served by other agents.
     accounts.forEach(account => driver.startBacklog(account, account === "club" ? [0] : undefined));
     driver.advance(settleMs);
-    const { gap, bound, idleSlotSamples } = observeGap(driver, accounts, span);
+    const { gap, bound, idleSlotSamples } = measureGap(driver, accounts, observation);
     if (gap > bound || idleSlotSamples > 0) {
-        throw new Error(`gap ${gap} of ${bound}, slots idle in ${idleSlotSamples} samples`);
+        throw new Error(`service gap ${gap}, limit ${bound}; idle slots in ${idleSlotSamples} samples, limit 0`);
     }
 }
 
 describe("Fair shares over several agents", () => {
-    // The caller sees: its account's service keeps up with every other's, over weight. All accounts are backlogged at
-    // all agents; the news of what others charged is lost, repeated and late; costs are known only at the end.
-    // Some agents restart without state in between.
+    // Guards against accounts that fall behind the others in service divided by weight. All accounts are backlogged;
+    // claims about charges of other agents are lost, repeated and late; costs are known only at the end of a request;
+    // some agents restart without state.
     it("keeps the gap in delivered service within its bound, and no slot idle, with costs unknown", () => {
         fc.assert(
-            fc.property(unknownCosts, restartsOf, (choices, restarts) => {
-                const known = restarts.filter(restart => restart.agent < (choices.agents ?? 1));
-                checkGap(choices, { forMs: 45_000, by: "delivered", restarts: known });
+            fc.property(unknownCosts, restartLists, (options, restarts) => {
+                const validRestarts = restarts.filter(restart => restart.agent < (options.agents ?? 1));
+                checkGap(options, { durationMs: 45_000, basis: "delivered", restarts: validRestarts });
             }),
             { seed: 7, numRuns: 12 },
         );
     });
 
-    it("keeps the gap in charged service within one cost and the news under way, with costs known", () => {
+    it("keeps the gap in charged service within one cost and the claims in transit, with costs known", () => {
         fc.assert(
-            fc.property(knownCosts, choices => checkGap(choices, { forMs: 40_000, by: "charged", restarts: [] })),
+            fc.property(knownCosts, options =>
+                checkGap(options, { durationMs: 40_000, basis: "charged", restarts: [] }),
+            ),
             { seed: 8, numRuns: 12 },
         );
     });
 
-    // The callers see: shares that follow the weights although news is old. With one exchange in two seconds all six agents
-    // find the club furthest behind at once; started as if each were alone, it would get most slots until the next news.
-    it("keeps a small account from being started by all agents at once between two exchanges", () => {
+    // Guards against shares that deviate from the weights because claims are old. With one exchange every two seconds
+    // all six agents see `club` furthest behind at the same time. If each ignored the other agents' probable starts,
+    // `club` would get most slots until the next exchange.
+    it("limits how much all agents together start for a small account between two exchanges", () => {
         const driver = new AgentFleetDriver({ agents: 6, exchangeEveryMs: 2_000 });
         const accounts = ["department", "middle", "club"];
         accounts.forEach(account => driver.startBacklog(account));
         driver.advance(settleMs);
-        const { gap } = observeGap(driver, accounts, { forMs: 60_000, by: "charged", restarts: [] });
-        const largestCost = 500;
-        expect(gap / largestCost).toMatchInlineSnapshot(`10`);
+        const { gap } = measureGap(driver, accounts, { durationMs: 60_000, basis: "charged", restarts: [] });
+        const maxCost = 500;
+        expect(gap / maxCost).toMatchInlineSnapshot(`10`);
     });
 
-    it("gives a department and a club their shares", () => {
+    it("gives accounts with large and small weights their shares", () => {
         const driver = new AgentFleetDriver({ agents: 6, weights: { department: 16, middle: 4, club: 1 } });
         const accounts = ["department", "middle", "club"];
         accounts.forEach(account => driver.startBacklog(account));
         driver.advance(settleMs);
-        const figures = observeGap(driver, accounts, { forMs: 60_000, by: "charged", restarts: [] });
+        const statistics = measureGap(driver, accounts, { durationMs: 60_000, basis: "charged", restarts: [] });
         const starts = accounts.map(account => driver.starts.filter(start => start.clientAccount === account).length);
-        expect({ ...figures, starts }).toMatchInlineSnapshot(`
+        expect({ ...statistics, starts }).toMatchInlineSnapshot(`
           {
             "bound": 5625,
             "gap": 1906,
--- a/test/fleet/agentFixtures.ts
+++ b/test/fleet/agentFixtures.ts
@@ -5,6 +5,7 @@
 import type { AgentEffect } from "../../src/fleet/agentMessages.js";
 import type { WorkRequest } from "../../src/fleet/entities.js";
 
+/** Values of a test document that tests vary. */
 export interface DocumentOptions {
     readonly weights: Readonly<Record<string, number>>;
     readonly maxConcurrent: number;
@@ -14,9 +15,9 @@
     readonly longFromCost: number;
 }
 
-/** A document with one data centre, one target and one service of each kind. */
-export function createDocument(choices: Partial<DocumentOptions> = {}): EnvironmentDocument {
-    const weights = choices.weights ?? { department: 16, club: 1 };
+/** Creates a document with one data centre, one target and one service of each kind. */
+export function createDocument(options: Partial<DocumentOptions> = {}): EnvironmentDocument {
+    const weights = options.weights ?? { department: 16, club: 1 };
     const clientAccounts = Object.fromEntries(
         Object.entries(weights).map(([name, weight]) => [name, { weight, apiKeyHashes: [] }]),
     );
@@ -28,18 +29,18 @@
                 kind: "model",
                 nonIdempotent: [],
                 deadlineMs: 60_000,
-                longFromCost: choices.longFromCost ?? 4_000,
+                longFromCost: options.longFromCost ?? 4_000,
             },
             bookings: { kind: "plain", nonIdempotent: [], deadlineMs: 10_000, longFromCost: 2_000 },
         },
-        dataCentres: { "gt-a": { region: "gt-central", state: choices.dataCentreState ?? "in" } },
+        dataCentres: { "gt-a": { region: "gt-central", state: options.dataCentreState ?? "in" } },
         targets: {
             t1: {
                 dataCentre: "gt-a",
                 services: ["planner", "bookings"],
-                state: choices.targetState ?? "serving",
-                maxConcurrent: choices.maxConcurrent ?? 8,
-                coldLimit: choices.coldLimit ?? 2,
+                state: options.targetState ?? "serving",
+                maxConcurrent: options.maxConcurrent ?? 8,
+                coldLimit: options.coldLimit ?? 2,
                 checksFencing: true,
             },
         },
@@ -54,7 +55,9 @@
     };
 }
 
-/** An idempotent model request of `department` with a minute to its deadline, changed as asked. */
+/**
+ * Creates an idempotent model request of `department` that is due a minute after its arrival, with `changes` applied.
+ */
 export function createRequest(id: string, changes: Partial<WorkRequest> = {}): WorkRequest {
     const arrivedAtMs = changes.arrivedAtMs ?? 0;
     return {
@@ -74,7 +77,7 @@
     };
 }
 
-/** Keeps what was recorded. */
+/** Keeps all recorded events in a list. */
 export class ListRecorder implements EventRecorder {
     public readonly events: FleetEventInput[] = [];
 
@@ -83,7 +86,7 @@
     }
 }
 
-/** An agent's core for target `t1`, without a document yet. */
+/** Creates an agent's core for target `t1` that has not received a document. */
 export function createAgent(
     recorder: EventRecorder = new ListRecorder(),
     incarnation = 1,
@@ -99,17 +102,17 @@
     return new AgentCore(identity, { ...defaultAgentOptions, ...options }, recorder, new SeededRandom(1));
 }
 
-/** Brings an agent past its cold start by two reports after the lag; takes until 4,000 ms. */
-export function createWarmAgent(choices: Partial<DocumentOptions> = {}, recorder?: EventRecorder): AgentCore {
+/** Creates an agent past its cold start: two reports after the report lag end it at 4,000 ms. */
+export function createWarmAgent(options: Partial<DocumentOptions> = {}, recorder?: EventRecorder): AgentCore {
     const agent = createAgent(recorder);
-    agent.handle({ type: "documentAccepted", offset: 1, document: createDocument(choices) }, 0);
+    agent.handle({ type: "documentAccepted", offset: 1, document: createDocument(options) }, 0);
     for (const atMs of [3_000, 4_000]) {
         agent.handle({ type: "targetReported", cold: false, running: 0, waiting: 0 }, atMs);
     }
     return agent;
 }
 
-/** Effects in short: `start a`, `withdrawn b`, `refused c deadline not-run 200`. */
+/** Formats effects as short texts: `start a`, `withdrawn b`, `refused c deadline not-run 200`. */
 export function formatEffects(effects: readonly AgentEffect[]): readonly string[] {
     return effects.map(effect => {
         switch (effect.type) {
--- a/test/fleet/agentFleetDriver.ts
+++ b/test/fleet/agentFleetDriver.ts
@@ -7,13 +7,14 @@
 import type { AgentReport, ServiceCounter, WorkRequest } from "../../src/fleet/entities.js";
 import { createDocument, createRequest } from "./agentFixtures.js";
 
-/** What one request asks for and what it turns out to be. */
+/** Tokens that one request declares, and the tokens that it generates when run. */
 export interface Demand {
     readonly promptTokens: number;
     readonly maxTokens: number | undefined;
     readonly generatedTokens: number;
 }
 
+/** Options of the simulated fleet. */
 export interface FleetOptions {
     readonly agents: number;
     readonly maxConcurrent: number;
@@ -23,13 +24,16 @@
     readonly seed: number;
     readonly exchangeEveryMs: number;
     readonly exchangeDelayMs: number;
+    /** Probability that an exchange's message to one agent is lost; 0 to 1. */
     readonly loss: number;
+    /** Probability that an exchange's message to one agent is sent once more; 0 to 1. */
     readonly repeat: number;
-    /** Units of cost that one slot works off per millisecond. */
+    /** Units of cost that one slot processes per millisecond. */
     readonly slotRate: number;
     createDemand(request: { readonly clientAccount: string; readonly random: Random }): Demand;
 }
 
+/** Options used where a test sets none. */
 export const defaultFleetOptions: FleetOptions = {
     agents: 4,
     maxConcurrent: 8,
@@ -53,7 +57,7 @@
     readonly endsAtMs: number;
 }
 
-interface Start {
+interface StartRecord {
     readonly atMs: number;
     readonly clientAccount: string;
     readonly id: string;
@@ -61,37 +65,38 @@
     readonly normalizedCost: number;
 }
 
-interface Ending {
+interface RefusalRecord {
     readonly atMs: number;
     readonly clientAccount: string;
     readonly waitMs: number;
 }
 
-interface AgentSeat {
+interface SimulatedAgent {
     readonly index: number;
     core: AgentCore;
     incarnation: number;
     readonly runs: Map<string, Run>;
-    /** When the news was collected that this agent saw last. */
-    newsFromMs: number;
+    /** Time at which the latest claims received by this agent were collected; milliseconds. */
+    claimsCollectedAtMs: number;
     tickAtMs: number;
 }
 
 /**
- * Drives some agents' cores by direct calls and a counted clock, with targets that work at a constant rate and one
- * exchange that may lose, repeat and delay what it carries. It is a small driver for properties, not a cluster.
+ * Drives the cores of several agents by direct calls and a simulated clock, with targets that work at a constant rate
+ * and one exchange that may lose, repeat and delay messages. It is a small driver for property tests and simulates no
+ * cluster.
  */
 export class AgentFleetDriver {
     public nowMs = 0;
-    public readonly starts: Start[] = [];
-    public readonly refusals: Ending[] = [];
-    /** Cost delivered to each account, over weight, with the part of what runs now. */
+    public readonly starts: StartRecord[] = [];
+    public readonly refusals: RefusalRecord[] = [];
+    /** Cost delivered by ended runs to each account, divided by weight. */
     public readonly deliveredByEndedRuns = new Map<string, number>();
     public maxStalenessMs = 0;
-    /** Agents whose news the exchange cannot reach just now. */
+    /** Indexes of agents that the exchange cannot reach at present. */
     public readonly partitionedAgents = new Set<number>();
-    private readonly chargedByGone = new Map<string, number>();
-    private readonly seats: AgentSeat[];
+    private readonly chargedByReplacedAgents = new Map<string, number>();
+    private readonly simulatedAgents: SimulatedAgent[];
     private readonly random: Random;
     private readonly events = new IndexedHeap<number>();
     private readonly actions = new Map<number, () => void>();
@@ -100,27 +105,27 @@
     private readonly backlog = new Map<string, ReadonlySet<number>>();
     private nextEvent = 0;
     private nextRequest = 0;
-    private readonly choices: FleetOptions;
+    private readonly options: FleetOptions;
 
-    public constructor(choices: Partial<FleetOptions>) {
-        this.choices = { ...defaultFleetOptions, ...choices };
-        this.random = new SeededRandom(this.choices.seed);
-        this.seats = [...Array(this.choices.agents).keys()].map(index => ({
+    public constructor(options: Partial<FleetOptions>) {
+        this.options = { ...defaultFleetOptions, ...options };
+        this.random = new SeededRandom(this.options.seed);
+        this.simulatedAgents = [...Array(this.options.agents).keys()].map(index => ({
             index,
             core: this.createCore(index, 1),
             incarnation: 1,
             runs: new Map<string, Run>(),
-            newsFromMs: 0,
+            claimsCollectedAtMs: 0,
             tickAtMs: Number.POSITIVE_INFINITY,
         }));
-        this.seats.forEach(seat => this.openSeat(seat));
-        this.addEvent(this.choices.exchangeEveryMs, () => this.runExchange());
+        this.simulatedAgents.forEach(agent => this.startAgent(agent));
+        this.addEvent(this.options.exchangeEveryMs, () => this.runExchange());
     }
 
-    /** Keeps two requests of the account waiting at each of the agents (all when left out). */
-    public startBacklog(clientAccount: string, agents?: readonly number[]): void {
-        this.backlog.set(clientAccount, new Set(agents ?? this.seats.map(seat => seat.index)));
-        this.seats.forEach(seat => this.addBacklog(seat, clientAccount));
+    /** Keeps two requests of the account waiting at each of the agents (by default all). */
+    public startBacklog(clientAccount: string, agentIndexes?: readonly number[]): void {
+        this.backlog.set(clientAccount, new Set(agentIndexes ?? this.simulatedAgents.map(agent => agent.index)));
+        this.simulatedAgents.forEach(agent => this.addBacklog(agent, clientAccount));
     }
 
     public stopBacklog(clientAccount: string): void {
@@ -128,8 +133,8 @@
     }
 
     /** Offers one request; returns its id. */
-    public offerRequest(agent: number, clientAccount: string, changes: Partial<WorkRequest> = {}): string {
-        const demand = this.choices.createDemand({ clientAccount, random: this.random });
+    public offerRequest(agentIndex: number, clientAccount: string, changes: Partial<WorkRequest> = {}): string {
+        const demand = this.options.createDemand({ clientAccount, random: this.random });
         const id = `${clientAccount}-${this.nextRequest}`;
         this.nextRequest += 1;
         const { promptTokens, maxTokens } = demand;
@@ -142,45 +147,46 @@
             ...changes,
         });
         this.requests.set(id, { request, demand });
-        this.send(this.getAgent(agent), { type: "workOffered", request, routerId: "r1" });
+        this.send(this.getAgent(agentIndex), { type: "workOffered", request, routerId: "r1" });
         return id;
     }
 
-    /** Replaces an agent's process by one without state; what ran there breaks off. */
-    public startAgainWithoutState(agent: number): void {
-        const seat = this.getAgent(agent);
-        for (const run of seat.runs.values()) {
+    /** Replaces an agent's process by one without state; its runs are aborted. */
+    public startAgainWithoutState(agentIndex: number): void {
+        const agent = this.getAgent(agentIndex);
+        for (const run of agent.runs.values()) {
             this.addDelivered(run, this.nowMs);
         }
-        seat.runs.clear();
-        for (const clientAccount of Object.keys(this.choices.weights)) {
-            const charged = (this.chargedByGone.get(clientAccount) ?? 0) + getOwnCharge(seat.core, clientAccount);
-            this.chargedByGone.set(clientAccount, charged);
+        agent.runs.clear();
+        for (const clientAccount of Object.keys(this.options.weights)) {
+            const charged =
+                (this.chargedByReplacedAgents.get(clientAccount) ?? 0) + getOwnCharge(agent.core, clientAccount);
+            this.chargedByReplacedAgents.set(clientAccount, charged);
         }
-        seat.incarnation += 1;
-        seat.core = this.createCore(agent, seat.incarnation);
-        seat.newsFromMs = this.nowMs;
-        this.openSeat(seat);
+        agent.incarnation += 1;
+        agent.core = this.createCore(agentIndex, agent.incarnation);
+        agent.claimsCollectedAtMs = this.nowMs;
+        this.startAgent(agent);
         for (const clientAccount of this.backlog.keys()) {
-            this.addBacklog(seat, clientAccount);
+            this.addBacklog(agent, clientAccount);
         }
     }
 
-    /** Lets time pass; `observe` is called every `everyMs`. */
+    /** Advances the clock by `ms`; calls `observe` every `everyMs`. */
     public advance(ms: number, everyMs = ms, observe: () => void = () => undefined): void {
         const untilMs = this.nowMs + ms;
-        for (let stopMs = this.nowMs + everyMs; stopMs <= untilMs; stopMs += everyMs) {
-            this.runUntil(stopMs);
+        for (let sampleAtMs = this.nowMs + everyMs; sampleAtMs <= untilMs; sampleAtMs += everyMs) {
+            this.runUntil(sampleAtMs);
             observe();
         }
         this.runUntil(untilMs);
     }
 
-    /** Service delivered so far over weight, with what running requests have had. */
+    /** Service delivered so far divided by weight, including the part delivered to running requests. */
     public getDelivered(clientAccount: string): number {
         let delivered = this.deliveredByEndedRuns.get(clientAccount) ?? 0;
-        for (const seat of this.seats) {
-            for (const run of seat.runs.values()) {
+        for (const agent of this.simulatedAgents) {
+            for (const run of agent.runs.values()) {
                 if (run.request.clientAccount === clientAccount) {
                     delivered += this.computeDelivered(run, this.nowMs);
                 }
@@ -189,11 +195,11 @@
         return delivered;
     }
 
-    /** Cost of what an account has running, over weight: charged, but not yet delivered, or the other way round. */
+    /** Cost of an account's running requests divided by weight, by which charged and delivered service may differ. */
     public getOutstanding(clientAccount: string): number {
         let cost = 0;
-        for (const seat of this.seats) {
-            for (const run of seat.runs.values()) {
+        for (const agent of this.simulatedAgents) {
+            for (const run of agent.runs.values()) {
                 if (run.request.clientAccount === clientAccount) {
                     cost += run.cost;
                 }
@@ -202,42 +208,42 @@
         return cost / this.getWeight(clientAccount);
     }
 
-    /** Slots inside the windows that stand free while something waits at that agent. */
+    /** Counts free slots within the windows of agents that have waiting requests. */
     public countIdleSlots(): number {
-        return this.seats.reduce((sum, seat) => {
-            const report = seat.core.createBriefReport();
+        return this.simulatedAgents.reduce((sum, agent) => {
+            const report = agent.core.createBriefReport();
             return sum + (report.queued > 0 ? Math.max(0, report.window - report.running) : 0);
         }, 0);
     }
 
-    /** Sum of the windows. */
+    /** Counts the slots within the windows of all agents. */
     public countSlots(): number {
-        return this.seats.reduce((sum, seat) => sum + seat.core.createBriefReport().window, 0);
+        return this.simulatedAgents.reduce((sum, agent) => sum + agent.core.createBriefReport().window, 0);
     }
 
-    /** What all agents, also those that are gone, have charged an account, over weight. */
+    /** Service charged to an account by all agents, including replaced ones, divided by weight. */
     public getCharged(clientAccount: string): number {
-        let charged = this.chargedByGone.get(clientAccount) ?? 0;
-        for (const seat of this.seats) {
-            charged += getOwnCharge(seat.core, clientAccount);
+        let charged = this.chargedByReplacedAgents.get(clientAccount) ?? 0;
+        for (const agent of this.simulatedAgents) {
+            charged += getOwnCharge(agent.core, clientAccount);
         }
         return charged;
     }
 
-    public send(seat: AgentSeat, message: AgentMessage): void {
-        this.applyEffects(seat, seat.core.handle(message, this.nowMs));
+    public send(agent: SimulatedAgent, message: AgentMessage): void {
+        this.applyEffects(agent, agent.core.handle(message, this.nowMs));
     }
 
-    public getAgent(agent: number): AgentSeat {
-        const seat = this.seats[agent];
-        if (seat === undefined) {
-            throw new Error(`no agent ${agent}`);
+    public getAgent(agentIndex: number): SimulatedAgent {
+        const agent = this.simulatedAgents[agentIndex];
+        if (agent === undefined) {
+            throw new Error(`Unknown agent index ${agentIndex}`);
         }
-        return seat;
+        return agent;
     }
 
     private getWeight(clientAccount: string): number {
-        return this.choices.weights[clientAccount] ?? 1;
+        return this.options.weights[clientAccount] ?? 1;
     }
 
     private createCore(index: number, incarnation: number): AgentCore {
@@ -248,59 +254,59 @@
             dataCentre: "gt-a",
             services: ["planner"],
         };
-        const random = new SeededRandom(this.choices.seed + index);
+        const random = new SeededRandom(this.options.seed + index);
         return new AgentCore(identity, defaultAgentOptions, new NoopEventRecorder(), random);
     }
 
-    private openSeat(seat: AgentSeat): void {
-        const { weights, maxConcurrent, coldLimit, longFromCost } = this.choices;
+    private startAgent(agent: SimulatedAgent): void {
+        const { weights, maxConcurrent, coldLimit, longFromCost } = this.options;
         const document = createDocument({ weights, maxConcurrent, coldLimit, longFromCost });
-        this.send(seat, { type: "documentAccepted", offset: 1, document });
+        this.send(agent, { type: "documentAccepted", offset: 1, document });
         for (const afterMs of [2_100, 2_200]) {
             this.addEvent(afterMs, () =>
-                this.send(seat, { type: "targetReported", cold: false, running: 0, waiting: 0 }),
+                this.send(agent, { type: "targetReported", cold: false, running: 0, waiting: 0 }),
             );
         }
     }
 
-    private addBacklog(seat: AgentSeat, clientAccount: string): void {
-        if (this.backlog.get(clientAccount)?.has(seat.index) !== true) {
+    private addBacklog(agent: SimulatedAgent, clientAccount: string): void {
+        if (this.backlog.get(clientAccount)?.has(agent.index) !== true) {
             return;
         }
-        const share = seat.core.listShares().find(entry => entry.clientAccount === clientAccount);
+        const share = agent.core.listShares().find(entry => entry.clientAccount === clientAccount);
         for (let waiting = share?.waiting ?? 0; waiting < 2; waiting += 1) {
-            this.offerRequest(seat.index, clientAccount);
+            this.offerRequest(agent.index, clientAccount);
         }
     }
 
-    private applyEffects(seat: AgentSeat, effects: readonly AgentEffect[]): void {
-        const refill = new Set<string>();
+    private applyEffects(agent: SimulatedAgent, effects: readonly AgentEffect[]): void {
+        const accountsToRefill = new Set<string>();
         for (const effect of effects) {
-            const known = this.requests.get(effect.requestId);
-            if (known === undefined) {
+            const offered = this.requests.get(effect.requestId);
+            if (offered === undefined) {
                 continue;
             }
-            const { clientAccount } = known.request;
+            const { clientAccount } = offered.request;
             if (effect.type === "startWork") {
-                this.startRun(seat, known.request, known.demand);
-                refill.add(clientAccount);
+                this.startRun(agent, offered.request, offered.demand);
+                accountsToRefill.add(clientAccount);
             } else if (effect.type === "refuseWork") {
-                const waitMs = this.nowMs - known.request.arrivedAtMs;
+                const waitMs = this.nowMs - offered.request.arrivedAtMs;
                 this.refusals.push({ atMs: this.nowMs, clientAccount, waitMs });
             }
         }
-        this.updateTimer(seat);
-        refill.forEach(clientAccount => this.addBacklog(seat, clientAccount));
+        this.updateTimer(agent);
+        accountsToRefill.forEach(clientAccount => this.addBacklog(agent, clientAccount));
     }
 
-    private startRun(seat: AgentSeat, request: WorkRequest, demand: Demand): void {
+    private startRun(agent: SimulatedAgent, request: WorkRequest, demand: Demand): void {
         const cost = computeModelCost(demand.promptTokens, demand.generatedTokens);
         const { nowMs } = this;
-        const durationMs = Math.max(1, cost / this.choices.slotRate);
+        const durationMs = Math.max(1, cost / this.options.slotRate);
         const run = { request, cost, demand, startedAtMs: nowMs, endsAtMs: nowMs + durationMs };
-        seat.runs.set(request.id, run);
-        if (this.seats.length > 1) {
-            this.maxStalenessMs = Math.max(this.maxStalenessMs, nowMs - seat.newsFromMs);
+        agent.runs.set(request.id, run);
+        if (this.simulatedAgents.length > 1) {
+            this.maxStalenessMs = Math.max(this.maxStalenessMs, nowMs - agent.claimsCollectedAtMs);
         }
         this.starts.push({
             atMs: nowMs,
@@ -310,33 +316,33 @@
             normalizedCost: cost / this.getWeight(request.clientAccount),
         });
         const firstOutputMs = Math.min(durationMs, 20 + demand.promptTokens / 10);
-        this.addEvent(firstOutputMs, () => this.sendOutput(seat, run));
-        this.addEvent(durationMs * 0.6, () => this.sendProgress(seat, run));
-        this.addEvent(durationMs, () => this.stopRun(seat, run));
+        this.addEvent(firstOutputMs, () => this.sendOutput(agent, run));
+        this.addEvent(durationMs * 0.6, () => this.sendProgress(agent, run));
+        this.addEvent(durationMs, () => this.stopRun(agent, run));
     }
 
-    private sendOutput(seat: AgentSeat, run: Run): void {
-        if (seat.runs.get(run.request.id) === run) {
-            this.send(seat, { type: "firstOutput", requestId: run.request.id });
+    private sendOutput(agent: SimulatedAgent, run: Run): void {
+        if (agent.runs.get(run.request.id) === run) {
+            this.send(agent, { type: "firstOutput", requestId: run.request.id });
         }
     }
 
-    private sendProgress(seat: AgentSeat, run: Run): void {
-        if (seat.runs.get(run.request.id) === run) {
+    private sendProgress(agent: SimulatedAgent, run: Run): void {
+        if (agent.runs.get(run.request.id) === run) {
             const tokens = Math.floor(run.demand.generatedTokens / 2);
-            this.send(seat, { type: "progressed", requestId: run.request.id, tokens });
+            this.send(agent, { type: "progressed", requestId: run.request.id, tokens });
         }
     }
 
-    private stopRun(seat: AgentSeat, run: Run): void {
-        if (seat.runs.get(run.request.id) !== run) {
+    private stopRun(agent: SimulatedAgent, run: Run): void {
+        if (agent.runs.get(run.request.id) !== run) {
             return;
         }
-        seat.runs.delete(run.request.id);
+        agent.runs.delete(run.request.id);
         this.addDelivered(run, this.nowMs);
         const { promptTokens, generatedTokens } = run.demand;
         const requestId = run.request.id;
-        this.send(seat, { type: "runEnded", requestId, outcome: "completed", promptTokens, generatedTokens });
+        this.send(agent, { type: "runEnded", requestId, outcome: "completed", promptTokens, generatedTokens });
     }
 
     private addDelivered(run: Run, atMs: number): void {
@@ -352,67 +358,67 @@
         return (share * run.cost) / this.getWeight(run.request.clientAccount);
     }
 
-    /** One round of the exchange: reads every agent's report, and sends each agent the sums over all others. */
+    /** Runs one exchange: merges the reports of all agents, and sends each agent the totals over all others. */
     private runExchange(): void {
-        const reachable = this.seats.filter(seat => !this.partitionedAgents.has(seat.index));
-        for (const seat of reachable) {
-            this.mergeReport(seat.core.createReport(undefined));
+        const reachable = this.simulatedAgents.filter(agent => !this.partitionedAgents.has(agent.index));
+        for (const agent of reachable) {
+            this.mergeReport(agent.core.createReport(undefined));
         }
-        for (const seat of reachable) {
-            this.sendClaims(seat);
+        for (const agent of reachable) {
+            this.sendClaims(agent);
         }
-        this.addEvent(this.choices.exchangeEveryMs, () => this.runExchange());
+        this.addEvent(this.options.exchangeEveryMs, () => this.runExchange());
     }
 
     private mergeReport(report: AgentReport): void {
         const key = `${report.identity.agentId}/${report.identity.incarnation}`;
-        const known = this.counters.get(key) ?? new Map<string, ServiceCounter>();
-        report.counters.forEach(counter => known.set(counter.clientAccount, counter));
-        this.counters.set(key, known);
+        const agentCounters = this.counters.get(key) ?? new Map<string, ServiceCounter>();
+        report.counters.forEach(counter => agentCounters.set(counter.clientAccount, counter));
+        this.counters.set(key, agentCounters);
     }
 
-    private sendClaims(seat: AgentSeat): void {
-        const claims = this.computeOthers(`agent-${seat.index}/${seat.incarnation}`);
+    private sendClaims(agent: SimulatedAgent): void {
+        const claims = this.computeClaims(`agent-${agent.index}/${agent.incarnation}`);
         const collectedAtMs = this.nowMs;
-        const { incarnation } = seat;
+        const { incarnation } = agent;
         const copies =
-            (this.random.next() < this.choices.loss ? 0 : 1) + (this.random.next() < this.choices.repeat ? 1 : 0);
+            (this.random.next() < this.options.loss ? 0 : 1) + (this.random.next() < this.options.repeat ? 1 : 0);
         for (let copy = 0; copy < copies; copy += 1) {
-            const delayMs = this.choices.exchangeDelayMs * (0.5 + this.random.next() + 4 * copy);
+            const delayMs = this.options.exchangeDelayMs * (0.5 + this.random.next() + 4 * copy);
             this.addEvent(delayMs, () => {
-                if (seat.incarnation === incarnation) {
-                    seat.newsFromMs = Math.max(seat.newsFromMs, collectedAtMs);
-                    this.send(seat, { type: "claimsReceived", routerId: "r1", claims });
+                if (agent.incarnation === incarnation) {
+                    agent.claimsCollectedAtMs = Math.max(agent.claimsCollectedAtMs, collectedAtMs);
+                    this.send(agent, { type: "claimsReceived", routerId: "r1", claims });
                 }
             });
         }
     }
 
-    private computeOthers(own: string): readonly ServiceCounter[] {
-        const sums = new Map<string, ServiceCounter>();
+    private computeClaims(ownKey: string): readonly ServiceCounter[] {
+        const totals = new Map<string, ServiceCounter>();
         for (const [key, counters] of this.counters) {
-            for (const counter of key === own ? [] : counters.values()) {
-                const sum = sums.get(counter.clientAccount);
-                sums.set(counter.clientAccount, {
+            for (const counter of key === ownKey ? [] : counters.values()) {
+                const total = totals.get(counter.clientAccount);
+                totals.set(counter.clientAccount, {
                     ...counter,
-                    charged: (sum?.charged ?? 0) + counter.charged,
-                    refunded: (sum?.refunded ?? 0) + counter.refunded,
-                    lift: Math.max(sum?.lift ?? 0, counter.lift),
+                    charged: (total?.charged ?? 0) + counter.charged,
+                    refunded: (total?.refunded ?? 0) + counter.refunded,
+                    lift: Math.max(total?.lift ?? 0, counter.lift),
                 });
             }
         }
-        return [...sums.values()];
+        return [...totals.values()];
     }
 
-    private updateTimer(seat: AgentSeat): void {
-        const dueAtMs = seat.core.nextTickAtMs();
-        if (dueAtMs === undefined || dueAtMs >= seat.tickAtMs || dueAtMs > Number.MAX_SAFE_INTEGER / 2) {
+    private updateTimer(agent: SimulatedAgent): void {
+        const dueAtMs = agent.core.nextTickAtMs();
+        if (dueAtMs === undefined || dueAtMs >= agent.tickAtMs || dueAtMs > Number.MAX_SAFE_INTEGER / 2) {
             return;
         }
-        seat.tickAtMs = dueAtMs;
+        agent.tickAtMs = dueAtMs;
         this.addEvent(Math.max(0, dueAtMs - this.nowMs), () => {
-            seat.tickAtMs = Number.POSITIVE_INFINITY;
-            this.applyEffects(seat, seat.core.tick(this.nowMs));
+            agent.tickAtMs = Number.POSITIVE_INFINITY;
+            this.applyEffects(agent, agent.core.tick(this.nowMs));
         });
     }
 
--- a/test/fleet/agentLoad.test.ts
+++ b/test/fleet/agentLoad.test.ts
@@ -1,59 +1,60 @@
 import { describe, expect, it } from "vitest";
 import { AgentFleetDriver } from "./agentFleetDriver.js";
 
-interface CallerFigures {
+interface CallerStatistics {
     readonly started: number;
     readonly refusedAtOnce: number;
     readonly refusedLater: number;
-    readonly waitMs: { readonly p50: number; readonly p95: number; readonly greatest: number };
+    readonly waitMs: { readonly p50: number; readonly p95: number; readonly max: number };
 }
 
-/** What the callers of an account got since `fromMs`. */
-function describeCallers(driver: AgentFleetDriver, clientAccount: string, fromMs: number): CallerFigures {
+/** Starts, refusals and waiting times of an account's requests since `fromMs`. */
+function describeRequests(driver: AgentFleetDriver, clientAccount: string, fromMs: number): CallerStatistics {
     const starts = driver.starts.filter(start => start.clientAccount === clientAccount && start.atMs >= fromMs);
     const waits = starts.map(start => Math.round(start.waitMs)).sort((a, b) => a - b);
     const refused = driver.refusals.filter(
         refusal => refusal.clientAccount === clientAccount && refusal.atMs >= fromMs,
     );
-    const at = (share: number): number => waits[Math.min(waits.length - 1, Math.floor(share * waits.length))] ?? 0;
+    const getPercentile = (share: number): number =>
+        waits[Math.min(waits.length - 1, Math.floor(share * waits.length))] ?? 0;
     const refusedLater = refused.filter(refusal => refusal.waitMs > 0).length;
     return {
         started: starts.length,
         refusedAtOnce: refused.length - refusedLater,
         refusedLater,
-        waitMs: { p50: at(0.5), p95: at(0.95), greatest: at(1) },
+        waitMs: { p50: getPercentile(0.5), p95: getPercentile(0.95), max: getPercentile(1) },
     };
 }
 
-/** Sends one request of the account every `everyMs` for `forMs`, to the agents in turn. */
-function runSteady(driver: AgentFleetDriver, clientAccount: string, everyMs: number, forMs: number): void {
+/** Offers one request of the account every `everyMs` for `durationMs`, alternately to the two agents. */
+function runSteadyLoad(driver: AgentFleetDriver, clientAccount: string, everyMs: number, durationMs: number): void {
     let count = 0;
-    driver.advance(forMs, everyMs, () => {
+    driver.advance(durationMs, everyMs, () => {
         driver.offerRequest(count % 2, clientAccount, { deadlineAtMs: driver.nowMs + 10_000 });
         count += 1;
     });
 }
 
 const settleMs = 8_000;
-const base = { agents: 2, maxConcurrent: 4, coldLimit: 2 };
-const quick = { promptTokens: 100, maxTokens: 25, generatedTokens: 25 };
-const rebuild = { promptTokens: 2_000, maxTokens: 2_000, generatedTokens: 2_000 };
+const baseOptions = { agents: 2, maxConcurrent: 4, coldLimit: 2 };
+const shortDemand = { promptTokens: 100, maxTokens: 25, generatedTokens: 25 };
+const longDemand = { promptTokens: 2_000, maxTokens: 2_000, generatedTokens: 2_000 };
 
 describe("What callers get under load", () => {
-    // The caller of a small club sees: its question waits for one slot to come free, no longer. The department keeps far
-    // more waiting than the targets can do, for the whole time.
-    it("flood: a club's question waits for a running request at most", () => {
-        const driver = new AgentFleetDriver({ ...base, createDemand: () => quick });
+    // Guards against long waits of an account with a small load: a request of `club` waits for at most one slot to
+    // become free, while `department` keeps a constant backlog beyond the targets' capacity.
+    it("overload: a request of a lightly loaded account waits for at most one running request", () => {
+        const driver = new AgentFleetDriver({ ...baseOptions, createDemand: () => shortDemand });
         driver.startBacklog("department");
         driver.advance(settleMs);
-        runSteady(driver, "club", 500, 30_000);
-        expect(describeCallers(driver, "club", settleMs)).toMatchInlineSnapshot(`
+        runSteadyLoad(driver, "club", 500, 30_000);
+        expect(describeRequests(driver, "club", settleMs)).toMatchInlineSnapshot(`
           {
             "refusedAtOnce": 0,
             "refusedLater": 0,
             "started": 59,
             "waitMs": {
-              "greatest": 100,
+              "max": 100,
               "p50": 100,
               "p95": 100,
             },
@@ -62,10 +63,10 @@
         expect(driver.countIdleSlots()).toBe(0);
     });
 
-    // The callers see: a burst of 400 is worked off in turn; what cannot be in time is refused when it arrives, not after
-    // its deadline has passed in the queue.
-    it("burst: what can be in time waits, the rest is refused at once", () => {
-        const driver = new AgentFleetDriver({ ...base, createDemand: () => quick });
+    // Guards against late refusals: of a burst of 400 requests, those that cannot start in time are refused on arrival
+    // rather than after waiting in the queue until their deadline; the rest is processed in order.
+    it("burst: requests that can start in time wait, the rest is refused at once", () => {
+        const driver = new AgentFleetDriver({ ...baseOptions, createDemand: () => shortDemand });
         driver.startBacklog("middle");
         driver.advance(settleMs);
         driver.stopBacklog("middle");
@@ -73,13 +74,13 @@
             driver.offerRequest(index % 2, "department", { deadlineAtMs: driver.nowMs + 5_000 });
         }
         driver.advance(10_000);
-        expect(describeCallers(driver, "department", settleMs)).toMatchInlineSnapshot(`
+        expect(describeRequests(driver, "department", settleMs)).toMatchInlineSnapshot(`
           {
             "refusedAtOnce": 210,
             "refusedLater": 6,
             "started": 184,
             "waitMs": {
-              "greatest": 4630,
+              "max": 4630,
               "p50": 2430,
               "p95": 4430,
             },
@@ -87,13 +88,13 @@
         `);
     });
 
-    // The callers see: in saturation each account gets its share, and nobody waits beyond the deadline. Three accounts
-    // offer together three times what the targets can do.
-    it("saturation: shares follow the weights, and refusals come at once", () => {
+    // Guards against shares that deviate from the weights, and waits beyond the deadline, in saturation: three accounts
+    // together offer three times the targets' capacity.
+    it("saturation: shares follow the weights, and most refusals are immediate", () => {
         const driver = new AgentFleetDriver({
-            ...base,
+            ...baseOptions,
             weights: { department: 4, middle: 2, club: 1 },
-            createDemand: () => quick,
+            createDemand: () => shortDemand,
         });
         driver.advance(settleMs);
         let count = 0;
@@ -103,15 +104,15 @@
             }
             count += 1;
         });
-        const figures = ["department", "middle", "club"].map(account => describeCallers(driver, account, settleMs));
-        expect(figures).toMatchInlineSnapshot(`
+        const statistics = ["department", "middle", "club"].map(account => describeRequests(driver, account, settleMs));
+        expect(statistics).toMatchInlineSnapshot(`
           [
             {
               "refusedAtOnce": 879,
               "refusedLater": 40,
               "started": 1371,
               "waitMs": {
-                "greatest": 4780,
+                "max": 4780,
                 "p50": 4600,
                 "p95": 4750,
               },
@@ -121,7 +122,7 @@
               "refusedLater": 64,
               "started": 686,
               "waitMs": {
-                "greatest": 4780,
+                "max": 4780,
                 "p50": 4580,
                 "p95": 4750,
               },
@@ -131,7 +132,7 @@
               "refusedLater": 81,
               "started": 343,
               "waitMs": {
-                "greatest": 4780,
+                "max": 4780,
                 "p50": 4400,
                 "p95": 4750,
               },
@@ -140,37 +141,37 @@
         `);
     });
 
-    // The caller of a quick question sees: no wait behind route rebuilds. The department's rebuilds, ten seconds each, would
-    // fill every slot; from the first question on a part of the slots is kept from them. Only the first questions wait until
-    // some rebuild has ended (p95), the others find a slot.
-    it("long among short: questions find a slot, and rebuilds get all slots when no questions come", () => {
-        const createDemand = ({ clientAccount }: { readonly clientAccount: string }): typeof quick =>
-            clientAccount === "department" ? rebuild : quick;
-        const driver = new AgentFleetDriver({ ...base, longFromCost: 4_000, createDemand });
+    // Guards against short requests that wait behind long ones. Long requests of `department`, ten seconds each, would
+    // fill all slots; from the first short request on, a part of the slots is reserved for short ones. Only the first
+    // short requests wait until a long one has ended (p95), the others start at once.
+    it("long and short: short requests find a slot, and long ones use all slots when no short ones arrive", () => {
+        const createDemand = ({ clientAccount }: { readonly clientAccount: string }): typeof shortDemand =>
+            clientAccount === "department" ? longDemand : shortDemand;
+        const driver = new AgentFleetDriver({ ...baseOptions, longFromCost: 4_000, createDemand });
         driver.startBacklog("department");
         driver.advance(30_000);
-        const idleWithoutQuestions = driver.countIdleSlots();
+        const idleWithoutShort = driver.countIdleSlots();
         driver.offerRequest(0, "club");
         driver.offerRequest(1, "club");
         driver.advance(15_000, 250, () => undefined);
         const fromMs = driver.nowMs;
-        runSteady(driver, "club", 500, 40_000);
-        const questions = describeCallers(driver, "club", fromMs);
+        runSteadyLoad(driver, "club", 500, 40_000);
+        const shortRequests = describeRequests(driver, "club", fromMs);
         driver.advance(20_000);
         expect({
-            questions,
-            idleWithoutQuestions,
-            idleAfterQuestions: driver.countIdleSlots(),
+            shortRequests,
+            idleWithoutShort,
+            idleAfterShort: driver.countIdleSlots(),
         }).toMatchInlineSnapshot(`
           {
-            "idleAfterQuestions": 0,
-            "idleWithoutQuestions": 0,
-            "questions": {
+            "idleAfterShort": 0,
+            "idleWithoutShort": 0,
+            "shortRequests": {
               "refusedAtOnce": 0,
               "refusedLater": 0,
               "started": 80,
               "waitMs": {
-                "greatest": 4500,
+                "max": 4500,
                 "p50": 0,
                 "p95": 3200,
               },
@@ -179,20 +180,20 @@
         `);
     });
 
-    // The caller sees: after a rest its account has no credit with which to shut others out. The club rests for a minute
-    // while the others are backlogged, then floods.
-    it("return from idle: a rested account takes its share, not the share it missed", () => {
+    // Guards against credit accumulated while idle, with which an account could exclude the others: `club` is idle for
+    // a minute while `department` is backlogged, and then keeps a backlog, too.
+    it("return from idle: an account gets its present share, without the service missed while idle", () => {
         const driver = new AgentFleetDriver({
-            ...base,
+            ...baseOptions,
             weights: { department: 1, club: 1 },
-            createDemand: () => quick,
+            createDemand: () => shortDemand,
         });
         driver.startBacklog("department");
         driver.advance(60_000);
         driver.startBacklog("club");
         const fromMs = driver.nowMs;
         driver.advance(5_000);
-        const started = ["department", "club"].map(account => describeCallers(driver, account, fromMs).started);
+        const started = ["department", "club"].map(account => describeRequests(driver, account, fromMs).started);
         expect(started).toMatchInlineSnapshot(`
           [
             101,
@@ -201,14 +202,14 @@
         `);
     });
 
-    // The callers see: nobody stalls when a partition heals. Agent 0 was cut off for two minutes; the middle account was
-    // backlogged on the other side only, the department on both. After the heal the department, which is ahead, must still
-    // be served, and the account that lags must not get minutes of exclusive service.
-    it("partition heals: the account that lags catches up within the cap, and the one ahead is still served", () => {
+    // Guards against stalls after a partition heals. Agent 0 is partitioned for two minutes; `middle` is backlogged at
+    // the other agent only, `department` at both. Afterwards `department`, which is ahead, must still be served, and
+    // `middle`, which is behind, must not get minutes of exclusive service.
+    it("partition heals: the account behind catches up within the cap, and the one ahead is still served", () => {
         const driver = new AgentFleetDriver({
-            ...base,
+            ...baseOptions,
             weights: { department: 1, middle: 8 },
-            createDemand: () => quick,
+            createDemand: () => shortDemand,
         });
         driver.startBacklog("department");
         driver.startBacklog("middle", [1]);
@@ -226,13 +227,13 @@
         const all = driver.starts.filter(start => start.atMs >= driver.nowMs - 10_000).length;
         expect({
             lag,
-            longestStallMs: Math.round(Math.max(...gaps)),
-            shareInTheEnd: Math.round((100 * last) / all),
+            maxStallMs: Math.round(Math.max(...gaps)),
+            shareAtEndPercent: Math.round((100 * last) / all),
         }).toMatchInlineSnapshot(`
           {
             "lag": 503723,
-            "longestStallMs": 6170,
-            "shareInTheEnd": 11,
+            "maxStallMs": 6170,
+            "shareAtEndPercent": 11,
           }
         `);
     });
--- a/test/fleet/coldAfterFailedRuns.test.ts
+++ b/test/fleet/coldAfterFailedRuns.test.ts
@@ -5,23 +5,23 @@
 const listStarts = (effects: readonly AgentEffect[]): readonly string[] =>
     effects.flatMap(effect => (effect.type === "startWork" ? [effect.requestId] : []));
 
-// An engine turns cold without warning and loses its runs: their answers break off one after the other. Its load report
-// still tells of the time before. An agent that fills each freed slot gives the cold engine a full load, and it falls over
-// again; callers see their answers break off a second time.
-it("gives a target whose runs break off no more than its cold limit", () => {
+// An engine turns cold without warning and loses its runs: their responses fail one after the other, while its load
+// report still shows the state before. An agent that fills each freed slot puts full load on the cold engine, which
+// fails again, and callers lose a second response.
+it("starts no more than the cold limit at a target whose runs fail", () => {
     const agent = createWarmAgent({ maxConcurrent: 8, coldLimit: 2 });
     const running = [..."abcdefghijklmnop"].flatMap(id => {
         const request = createRequest(id, { arrivedAtMs: 5_000 });
         return listStarts(agent.handle({ type: "workOffered", request, routerId: "r1" }, 5_000));
     });
-    // Each first output lets the window grow by one until the target is full.
+    // Each first output increases the window by one until it reaches the maximum concurrency.
     for (const requestId of running) {
         running.push(...listStarts(agent.handle({ type: "firstOutput", requestId }, 5_050)));
     }
     expect(running.length).toBe(8);
-    const startedAnew = running.flatMap((requestId, index) => {
+    const startedAfterFailure = running.flatMap((requestId, index) => {
         const counts = { promptTokens: 100, generatedTokens: 10 };
         return listStarts(agent.handle({ type: "runEnded", requestId, outcome: "failed", ...counts }, 5_100 + index));
     });
-    expect(startedAnew.length).toBeLessThanOrEqual(2);
+    expect(startedAfterFailure.length).toBeLessThanOrEqual(2);
 });
