--- a/src/fleet/agent/agentContext.ts
+++ b/src/fleet/agent/agentContext.ts
@@ -84,9 +84,9 @@
     }
 
     /** Records an event that concerns a request. */
-    public recordRequest(kind: FleetEventInput["kind"], request: WorkRequest, more: Partial<FleetEventInput>): void {
+    public recordRequest(kind: FleetEventInput["kind"], request: WorkRequest, details: Partial<FleetEventInput>): void {
         const { id: requestId, clientAccount, service } = request;
-        this.record({ kind, requestId, clientAccount, service, ...more });
+        this.record({ kind, requestId, clientAccount, service, ...details });
     }
 
     /**
--- a/src/fleet/agent/tables.ts
+++ b/src/fleet/agent/tables.ts
@@ -52,7 +52,7 @@
 export class AgentTables {
     public readonly running = new Map<string, RunningWork>();
     /** Running requests without output so far, oldest first in each class. */
-    private readonly awaiting = { short: new LinkedList<RunningWork>(), long: new LinkedList<RunningWork>() };
+    private readonly awaitingOutput = { short: new LinkedList<RunningWork>(), long: new LinkedList<RunningWork>() };
     private readonly awaitingNodes = new Map<string, LinkedListNode<RunningWork>>();
     public readonly services = new Map<string, ServiceRow>();
     private readonly runningByAccount = new Map<string, number>();
@@ -86,7 +86,7 @@
 
     public addRunning(work: RunningWork): void {
         this.running.set(work.request.id, work);
-        this.awaitingNodes.set(work.request.id, this.awaiting[work.workClass].add(work));
+        this.awaitingNodes.set(work.request.id, this.awaitingOutput[work.workClass].add(work));
         this.updateCounts(work, 1);
     }
 
@@ -94,7 +94,7 @@
     public setRunning(work: RunningWork): void {
         this.running.set(work.request.id, work);
         if (work.firstOutputAtMs !== undefined) {
-            this.removeAwaiting(work);
+            this.removeAwaitingOutput(work);
         }
     }
 
@@ -108,26 +108,26 @@
     public clearAwaitingOutput(): void {
         for (const [id, node] of [...this.awaitingNodes]) {
             this.awaitingNodes.delete(id);
-            this.awaiting[node.value.workClass].remove(node);
+            this.awaitingOutput[node.value.workClass].remove(node);
         }
     }
 
     /** The request of a class that has been waiting longest for its first output. */
     public getAwaitingOutput(workClass: WorkClass): RunningWork | undefined {
-        return this.awaiting[workClass].getFirst();
+        return this.awaitingOutput[workClass].getFirst();
     }
 
     public removeRunning(work: RunningWork): void {
         this.running.delete(work.request.id);
-        this.removeAwaiting(work);
+        this.removeAwaitingOutput(work);
         this.updateCounts(work, -1);
     }
 
-    private removeAwaiting(work: RunningWork): void {
+    private removeAwaitingOutput(work: RunningWork): void {
         const node = this.awaitingNodes.get(work.request.id);
         if (node !== undefined) {
             this.awaitingNodes.delete(work.request.id);
-            this.awaiting[work.workClass].remove(node);
+            this.awaitingOutput[work.workClass].remove(node);
         }
     }
 
--- a/test/fleet/agentCore.test.ts
+++ b/test/fleet/agentCore.test.ts
@@ -92,7 +92,7 @@
         const agent = createWarmAgent({ maxConcurrent: 1, coldLimit: 1 });
         const before = [...offer(agent, "a", 5_000), ...offer(agent, "b", 5_000)];
         const out = createDocument({ maxConcurrent: 1, coldLimit: 1, dataCentreState: "out" });
-        const taken = formatEffects(agent.handle({ type: "documentAccepted", offset: 2, document: out }, 5_100));
+        const takenOut = formatEffects(agent.handle({ type: "documentAccepted", offset: 2, document: out }, 5_100));
         const during = [...offer(agent, "c", 5_200), ...end(agent, "a", 5_300)];
         // A late copy of the previous document must not put the data centre back into service.
         agent.handle({ type: "documentAccepted", offset: 1, document: createDocument() }, 5_400);
@@ -101,7 +101,7 @@
         const after = offer(agent, "b", 6_000);
         agent.handle({ type: "leaving" }, 6_100);
         const leaving = offer(agent, "e", 6_100);
-        expect({ before, taken, during, stale, after, leaving }).toMatchInlineSnapshot(`
+        expect({ before, takenOut, during, stale, after, leaving }).toMatchInlineSnapshot(`
           {
             "after": [
               "start b",
@@ -118,7 +118,7 @@
             "stale": [
               "refused d draining not-run -",
             ],
-            "taken": [
+            "takenOut": [
               "withdrawn b",
             ],
           }
--- a/test/fleet/agentLoad.test.ts
+++ b/test/fleet/agentLoad.test.ts
@@ -40,7 +40,7 @@
 const shortDemand = { promptTokens: 100, maxTokens: 25, generatedTokens: 25 };
 const longDemand = { promptTokens: 2_000, maxTokens: 2_000, generatedTokens: 2_000 };
 
-describe("What callers get under load", () => {
+describe("Waiting times and shares under load", () => {
     // Guards against long waits of an account with a small load: a request of `club` waits for at most one slot to
     // become free, while `department` keeps a constant backlog beyond the targets' capacity.
     it("overload: a request of a lightly loaded account waits for at most one running request", () => {
@@ -223,12 +223,12 @@
         driver.advance(40_000);
         const starts = driver.starts.filter(start => start.clientAccount === "department" && start.atMs >= fromMs);
         const gaps = starts.map((start, index) => start.atMs - (starts[index - 1]?.atMs ?? fromMs));
-        const last = starts.filter(start => start.atMs >= driver.nowMs - 10_000).length;
-        const all = driver.starts.filter(start => start.atMs >= driver.nowMs - 10_000).length;
+        const startsAtEnd = starts.filter(start => start.atMs >= driver.nowMs - 10_000).length;
+        const allStartsAtEnd = driver.starts.filter(start => start.atMs >= driver.nowMs - 10_000).length;
         expect({
             lag,
             maxStallMs: Math.round(Math.max(...gaps)),
-            shareAtEndPercent: Math.round((100 * last) / all),
+            shareAtEndPercent: Math.round((100 * startsAtEnd) / allStartsAtEnd),
         }).toMatchInlineSnapshot(`
           {
             "lag": 503723,
