--- a/src/fleet/router/admitSystem.ts
+++ b/src/fleet/router/admitSystem.ts
@@ -5,17 +5,17 @@
 import type { RouterState } from "./state.js";
 import type { Lane, RequestEntry } from "./tables.js";
 
-/** When to come back to a service that has no agent; milliseconds. */
+/** `Retry-After` for a service that no agent serves; milliseconds. */
 export const noTargetRetryAfterMs = 2_000;
 
-/** Lets requests in or turns them away at once. */
+/** Admission control: queues a request or refuses it immediately. */
 export class AdmitSystem {
     public constructor(
         private readonly state: RouterState,
         private readonly costs: CostEstimator,
     ) {}
 
-    /** Takes a caller's request. A repeat of an id that is still open is ignored. */
+    /** Admits a caller's request. A duplicate of a request ID that is still open is ignored. */
     public handleSubmitted(request: WorkRequest, homeAgentId: string | undefined, nowMs: number): void {
         if (this.state.requests.has(request.id)) {
             return;
@@ -33,7 +33,7 @@
         this.state.recordRequest("request-queued", entry);
     }
 
-    /** The request goes on at another home; how often that may happen is the shell's to bound. */
+    /** Moves a request to another key owner. The code around the core limits how often a request is delegated. */
     public handleDelegated(entry: RequestEntry, homeAgentId: string, nowMs: number): void {
         const { state } = this;
         state.removeFromStage(entry, nowMs);
@@ -48,21 +48,21 @@
             return state.createRefusal("stopping", entry.execution, minStoppingRetryMs, "this router is stopping");
         }
         if (isKeyed(entry.request)) {
-            const home = entry.lane.homeAgentId;
-            // A home that takes nothing new still answers repeats, and hands new keys over to another home.
-            if (home === undefined || state.agents.get(home)?.isLost !== false) {
+            const keyOwnerId = entry.lane.homeAgentId;
+            // A key owner that accepts no new work still handles repeated keys, and delegates new keys to another owner.
+            if (keyOwnerId === undefined || state.agents.get(keyOwnerId)?.isLost !== false) {
                 return state.createRefusal(
                     "no-target",
                     entry.execution,
                     noTargetRetryAfterMs,
-                    "the key's home is away",
+                    "the agent that owns the idempotency key is unavailable",
                 );
             }
         }
-        return this.checkBounds(entry, nowMs);
+        return this.checkLimits(entry, nowMs);
     }
 
-    private checkBounds(entry: RequestEntry, nowMs: number): ReturnType<RouterState["createRefusal"]> | undefined {
+    private checkLimits(entry: RequestEntry, nowMs: number): ReturnType<RouterState["createRefusal"]> | undefined {
         const { state } = this;
         const { document } = state;
         if (document === undefined) {
@@ -70,7 +70,7 @@
                 "no-target",
                 entry.execution,
                 noTargetRetryAfterMs,
-                "no document is in force yet",
+                "no environment document has been received yet",
             );
         }
         const account = document.clientAccounts[entry.request.clientAccount];
@@ -96,7 +96,8 @@
         );
         return result.match(
             () => undefined,
-            ({ reason, retryAfterMs }) => state.createRefusal(reason, entry.execution, retryAfterMs, details[reason]),
+            ({ reason, retryAfterMs }) =>
+                state.createRefusal(reason, entry.execution, retryAfterMs, refusalDetails[reason]),
         );
     }
 
@@ -114,13 +115,13 @@
     }
 }
 
-/** Enough for the balancer to notice that this router has left. */
+/** Milliseconds; long enough for the load balancer to stop routing to this router. */
 const minStoppingRetryMs = 1_000;
 
-const details = {
-    "queue-full": "too many requests wait",
+const refusalDetails = {
+    "queue-full": "too many requests are queued",
     "account-queue-full": "too many requests of this account are open",
-    deadline: "the deadline can't be met",
+    deadline: "the request cannot start before its deadline",
 };
 
 function createEntry(request: WorkRequest, lane: Lane): RequestEntry {
@@ -135,8 +136,8 @@
         sentAtMs: 0,
         triedAgentIds: [],
         withdrawReason: undefined,
-        // A request with a key may be the repeat of one that ran through another router. Only the key's home can tell; a
-        // "not-run" of this router's own would be taken for the key's, and the caller would do the call anew.
+        // A request with an idempotency key may repeat one that ran through another router. Only the key owner has the
+        // key's status. If this router reported "not-run", the caller would apply that to the key and repeat the call.
         execution: isKeyed(request) ? "unknown" : "not-run",
         affinityHash: prefixHash === undefined ? undefined : computeAffinityHash(clientAccount, prefixHash),
     };
--- a/src/fleet/router/agentViewSystem.ts
+++ b/src/fleet/router/agentViewSystem.ts
@@ -7,7 +7,7 @@
 import type { AgentEntry } from "./tables.js";
 import type { WithdrawSystem } from "./withdrawSystem.js";
 
-/** Keeps what this router knows of agents, and moves work away from those that take nothing new. */
+/** Maintains the reported state of agents and moves queued work away from agents that accept no new work. */
 export class AgentViewSystem {
     public constructor(
         private readonly state: RouterState,
@@ -16,22 +16,23 @@
         private readonly expireSystem: ExpireSystem,
     ) {}
 
-    /** Takes a report; of one that was overtaken by a newer one only the counters. */
+    /** Applies a report. Of a report that arrives after a newer one, only the counters are applied. */
     public receiveReport(report: AgentReport, nowMs: number): void {
         const { state } = this;
         const { agentId } = report.identity;
         const before = state.agents.get(agentId);
-        // Also of a report that was overtaken: counters only rise, and the exchange acknowledges them by the number.
+        // Counters are applied from outdated reports too: they never decrease, and the exchange acknowledges each report's
+        // sequence number, so the agent doesn't send these counters again.
         state.claims.receiveReport(report);
         if (before !== undefined && !isNewer(report, before.report)) {
             return;
         }
-        const hints = report.cachedPrefixes;
+        const prefixes = report.cachedPrefixes;
         const entry: AgentEntry = {
             agentId,
             nameHash: before?.nameHash ?? computeNameHash(agentId),
             report,
-            cachedPrefixes: hints === before?.report.cachedPrefixes ? before.cachedPrefixes : new Set(hints),
+            cachedPrefixes: prefixes === before?.report.cachedPrefixes ? before.cachedPrefixes : new Set(prefixes),
             isAccepting: isAccepting(report, state.document),
             isLost: false,
             sentSinceReport: 0,
@@ -43,7 +44,7 @@
         }
     }
 
-    /** An agent does not answer: nothing new goes there, and what it has not started goes elsewhere where that is safe. */
+    /** Handles an unresponsive agent: it is offered no new work, and requests it has not started are retried where safe. */
     public handleLost(agentId: string, nowMs: number): void {
         const { state } = this;
         const before = state.agents.get(agentId);
@@ -57,16 +58,16 @@
         for (const requestId of state.offers.list(agentId)) {
             const request = state.requests.get(requestId);
             if (request !== undefined) {
-                // Whether the agent started it since cannot be known. What runs there is left to the connection, which
-                // may still deliver the answer.
+                // Whether the agent has started the request since can't be determined. Requests reported as started are
+                // not retried, because their connection may still deliver the response.
                 state.addEffect({ type: "cancelWork", requestId, agentId });
-                this.retrySystem.handleFailed(request, "unknown", "the agent does not answer", nowMs);
+                this.retrySystem.handleFailed(request, "unknown", "the agent is unresponsive", nowMs);
             }
         }
         this.checkServices(entry, nowMs);
     }
 
-    /** A document may take a data centre or a target out, or bring it back. */
+    /** Applies a newer document, which may take data centres or targets out of service or return them to service. */
     public handleDocument(offset: number, document: EnvironmentDocument, nowMs: number): void {
         const { state } = this;
         if (offset <= state.documentOffset) {
@@ -74,9 +75,9 @@
         }
         state.setDocument(offset, document);
         for (const before of [...state.agents.list()]) {
-            const accepting = !before.isLost && isAccepting(before.report, document);
-            if (accepting !== before.isAccepting) {
-                this.update({ ...before, isAccepting: accepting }, before, nowMs);
+            const acceptsWork = !before.isLost && isAccepting(before.report, document);
+            if (acceptsWork !== before.isAccepting) {
+                this.update({ ...before, isAccepting: acceptsWork }, before, nowMs);
             }
         }
     }
@@ -110,7 +111,7 @@
     );
 }
 
-/** Whether an agent takes new work: by its own word, and by the document, whichever is the first to say no. */
+/** Whether an agent accepts new work: its own report and the document must both allow it. */
 function isAccepting(report: AgentReport, document: EnvironmentDocument | undefined): boolean {
     const { targetName } = report.identity;
     const target = document?.targets[targetName];
--- a/src/fleet/router/claims.ts
+++ b/src/fleet/router/claims.ts
@@ -1,23 +1,24 @@
 import type { AgentReport, ServiceCounter } from "../entities.js";
 import type { ServiceClaims } from "../routerMessages.js";
 
-/** Claims for one agent, and the version to ask from next time. */
+/** Claims for one agent, and the version to pass to the next incremental query. */
 export interface VersionedClaims {
     readonly version: number;
     readonly claims: ServiceClaims;
 }
 
 /**
- * Service given over the fleet, summed from the agents' own counters. Each (agent, incarnation) is the only writer of its
- * counters and these only rise, so that lost, repeated and reordered reports do no harm: every sum here is a lower bound.
- * The counters of a dead incarnation stay in the sums; otherwise they would fall and the account would seem served less.
+ * Service provided across the fleet, totalled from the agents' own counters. Each (agent, incarnation) is the only writer
+ * of its counters and they never decrease, so lost, repeated and reordered reports are harmless: every total is a lower
+ * bound. Counters of ended incarnations stay in the totals; without them the totals would fall and the account would appear
+ * to have been served less.
  */
 export class ClaimTable {
-    private readonly sums = new Map<string, SumEntry>();
+    private readonly totals = new Map<string, TotalEntry>();
     private readonly agents = new Map<string, AgentCounters>();
     private version = 0;
 
-    /** Takes the counters of a report; those of an older incarnation are dropped. */
+    /** Applies the counters of a report. Counters of an older incarnation are ignored. */
     public receiveReport(report: AgentReport): void {
         const { agentId, incarnation } = report.identity;
         let own = this.agents.get(agentId);
@@ -25,7 +26,9 @@
             own = { incarnation, counters: new Map() };
             this.agents.set(agentId, own);
             this.version += 1;
-            this.sums.forEach((sum, key) => this.sums.set(key, { ...sum, ...this.buildChange(sum, agentId, true) }));
+            this.totals.forEach((total, key) =>
+                this.totals.set(key, { ...total, ...this.buildChange(total, agentId, true) }),
+            );
         }
         if (own.incarnation === incarnation) {
             for (const counter of report.counters) {
@@ -34,65 +37,65 @@
         }
     }
 
-    /** What all other agents gave, as far as it changed since the version; for the agent's exchange. */
+    /** Service provided by all other agents, limited to entries changed since the version; sent in the agent's exchange. */
     public create(agentId: string, sinceVersion: number): VersionedClaims {
         const own = this.agents.get(agentId)?.counters;
         const claims: ServiceCounter[] = [];
-        for (const [key, sum] of this.sums) {
-            const changedAt = sum.changedBy === agentId ? sum.changedByOthersAt : sum.changedAt;
+        for (const [key, total] of this.totals) {
+            const changedAt = total.changedBy === agentId ? total.changedByOthersAt : total.changedAt;
             if (changedAt > sinceVersion) {
-                claims.push(createClaim(sum, own?.get(key)));
+                claims.push(createClaim(total, own?.get(key)));
             }
         }
         return { version: this.version, claims };
     }
 
-    /** What all other agents gave one account; undefined when nothing is known. */
+    /** Service that all other agents provided to one account; undefined if no agent has reported any. */
     public find(agentId: string, service: string, clientAccount: string): ServiceCounter | undefined {
         const key = `${service}\n${clientAccount}`;
-        const sum = this.sums.get(key);
-        return sum === undefined ? undefined : createClaim(sum, this.agents.get(agentId)?.counters.get(key));
+        const total = this.totals.get(key);
+        return total === undefined ? undefined : createClaim(total, this.agents.get(agentId)?.counters.get(key));
     }
 
-    /** Sums over all agents. */
+    /** Totals over all agents. */
     public list(): Iterable<ServiceCounter> {
-        return this.sums.values();
+        return this.totals.values();
     }
 
-    /** Normalized service of an account as known here; units over weight. */
+    /** Normalized service of an account by the reports received so far; service units divided by weight. */
     public getNormalizedService(service: string, clientAccount: string): number {
-        const sum = this.sums.get(`${service}\n${clientAccount}`);
-        return sum === undefined ? 0 : sum.charged - sum.refunded + sum.lift;
+        const total = this.totals.get(`${service}\n${clientAccount}`);
+        return total === undefined ? 0 : total.charged - total.refunded + total.lift;
     }
 
     private receiveCounter(agentId: string, own: AgentCounters, counter: ServiceCounter): void {
         const key = `${counter.service}\n${counter.clientAccount}`;
         const before = own.counters.get(key) ?? { charged: 0, refunded: 0 };
-        const sum = this.sums.get(key) ?? createSum(counter);
+        const total = this.totals.get(key) ?? createTotal(counter);
         const charged = Math.max(before.charged, counter.charged);
         const refunded = Math.max(before.refunded, counter.refunded);
-        const isNewLift = counter.lift > sum.lift;
+        const isNewLift = counter.lift > total.lift;
         if (charged === before.charged && refunded === before.refunded && !isNewLift) {
             return;
         }
         this.version += 1;
         own.counters.set(key, { charged, refunded });
-        this.sums.set(key, {
-            ...sum,
-            ...this.buildChange(sum, agentId, false),
-            charged: sum.charged + charged - before.charged,
-            refunded: sum.refunded + refunded - before.refunded,
-            lift: Math.max(sum.lift, counter.lift),
+        this.totals.set(key, {
+            ...total,
+            ...this.buildChange(total, agentId, false),
+            charged: total.charged + charged - before.charged,
+            refunded: total.refunded + refunded - before.refunded,
+            lift: Math.max(total.lift, counter.lift),
         });
     }
 
-    /** `forAll`: the change matters to the agent that made it too, as after its restart. */
-    private buildChange(sum: SumEntry, agentId: string, forAll: boolean): ChangeStamp {
-        const others = sum.changedBy === agentId ? sum.changedByOthersAt : sum.changedAt;
+    /** `forAll`: the change also concerns the agent that made it, as after a restart of that agent. */
+    private buildChange(total: TotalEntry, agentId: string, forAll: boolean): ChangeStamp {
+        const othersAt = total.changedBy === agentId ? total.changedByOthersAt : total.changedAt;
         return {
             changedAt: this.version,
             changedBy: agentId,
-            changedByOthersAt: forAll ? this.version : others,
+            changedByOthersAt: forAll ? this.version : othersAt,
         };
     }
 }
@@ -109,22 +112,22 @@
     readonly changedByOthersAt: number;
 }
 
-interface SumEntry extends ServiceCounter, ChangeStamp {}
+interface TotalEntry extends ServiceCounter, ChangeStamp {}
 
 function createClaim(
-    sum: ServiceCounter,
+    total: ServiceCounter,
     own: { readonly charged: number; readonly refunded: number } | undefined,
 ): ServiceCounter {
     return {
-        service: sum.service,
-        clientAccount: sum.clientAccount,
-        charged: Math.max(0, sum.charged - (own?.charged ?? 0)),
-        refunded: Math.max(0, sum.refunded - (own?.refunded ?? 0)),
-        lift: sum.lift,
+        service: total.service,
+        clientAccount: total.clientAccount,
+        charged: Math.max(0, total.charged - (own?.charged ?? 0)),
+        refunded: Math.max(0, total.refunded - (own?.refunded ?? 0)),
+        lift: total.lift,
     };
 }
 
-function createSum(counter: ServiceCounter): SumEntry {
+function createTotal(counter: ServiceCounter): TotalEntry {
     return {
         service: counter.service,
         clientAccount: counter.clientAccount,
--- a/src/fleet/router/costEstimator.ts
+++ b/src/fleet/router/costEstimator.ts
@@ -1,41 +1,41 @@
 import type { EnvironmentDocument } from "../../document/schema.js";
 import type { WorkClass, WorkRequest } from "../entities.js";
 
-/** Weight of the newest cost in the running mean: about the last ten requests of a kind count. */
-const learningRate = 0.1;
+/** Smoothing factor of the exponential moving average: about the last ten requests of a kind contribute. */
+const smoothingFactor = 0.1;
 
 /**
- * Guesses a request's class from its prompt and what like requests cost. A wrong guess costs a place in the wrong queue and
- * nothing more, as the agent decides what starts.
+ * Estimates a request's class from its prompt and the cost of similar requests. A wrong estimate only puts the request into
+ * the wrong queue, because the agent decides which request starts.
  */
 export class CostEstimator {
     private readonly means = new Map<string, number>();
 
-    /** The class that the service's `longFromCost` gives. */
+    /** Class by the estimated cost: long from the service's `longFromCost`. */
     public estimateClass(request: WorkRequest, document: EnvironmentDocument): WorkClass {
         const service = document.services[request.service];
         return service !== undefined && this.estimate(request) >= service.longFromCost ? "long" : "short";
     }
 
-    /** Takes the cost of an answered request. */
+    /** Updates the average with the cost of a completed request. */
     public recordCost(request: WorkRequest, cost: number): void {
         const key = buildKindKey(request);
         const mean = this.means.get(key) ?? cost;
-        this.means.set(key, mean + learningRate * (cost - mean));
+        this.means.set(key, mean + smoothingFactor * (cost - mean));
     }
 
     private estimate(request: WorkRequest): number {
-        const learned = this.means.get(buildKindKey(request));
-        if (learned !== undefined) {
-            return learned;
+        const measuredMean = this.means.get(buildKindKey(request));
+        if (measuredMean !== undefined) {
+            return measuredMean;
         }
         return request.promptTokens + (request.maxTokens ?? 0);
     }
 }
 
-/** Requests of one account and service whose prompt and limit are of one order of magnitude cost about the same. */
+/** Key of requests with similar cost: same account and service, prompt and token limit of the same order of magnitude. */
 function buildKindKey(request: WorkRequest): string {
-    const promptSize = Math.round(Math.log2(1 + request.promptTokens));
-    const answerSize = request.maxTokens === undefined ? "" : Math.round(Math.log2(1 + request.maxTokens));
-    return `${request.service}\n${request.clientAccount}\n${promptSize}\n${answerSize}`;
+    const promptMagnitude = Math.round(Math.log2(1 + request.promptTokens));
+    const outputMagnitude = request.maxTokens === undefined ? "" : Math.round(Math.log2(1 + request.maxTokens));
+    return `${request.service}\n${request.clientAccount}\n${promptMagnitude}\n${outputMagnitude}`;
 }
--- a/src/fleet/router/expireSystem.ts
+++ b/src/fleet/router/expireSystem.ts
@@ -4,7 +4,7 @@
 import type { Timer } from "./timers.js";
 import type { WithdrawSystem } from "./withdrawSystem.js";
 
-/** Acts on timers: deadlines, delays before retries, unanswered withdraws, services without any agent. */
+/** Handles expired timers: deadlines, retry backoff, unacknowledged withdrawals, services without an agent. */
 export class ExpireSystem {
     public constructor(
         private readonly state: RouterState,
@@ -12,7 +12,7 @@
         private readonly retrySystem: RetrySystem,
     ) {}
 
-    /** Handles every timer that is due. */
+    /** Handles all timers that are due. */
     public run(nowMs: number): void {
         for (let timer = this.take(nowMs); timer !== undefined; timer = this.take(nowMs)) {
             switch (timer.kind) {
@@ -20,7 +20,7 @@
                     this.handleDeadline(timer.key, nowMs);
                     break;
                 case "answer-grace":
-                    this.handleNoAnswer(timer.key, nowMs);
+                    this.handleNoReply(timer.key, nowMs);
                     break;
                 case "withdraw-repeat":
                     this.withdrawSystem.handleRepeat(timer.key, nowMs);
@@ -39,7 +39,7 @@
         return this.state.timers.takeDue(nowMs);
     }
 
-    /** Looks whether a service has an agent; called when a request came in or an agent changed. */
+    /** Checks whether any agent accepts work for a service; called when a request arrives or an agent changes. */
     public checkService(service: string, nowMs: number): void {
         const { state } = this;
         if (state.agents.listForService(service).some(agent => agent.isAccepting)) {
@@ -65,14 +65,18 @@
         state.timers.set("answer-grace", requestId, nowMs + state.options.replyGraceMs);
     }
 
-    /** The agent neither gave the request back nor said that it started: nobody here can tell whether it ran. */
-    private handleNoAnswer(requestId: string, nowMs: number): void {
+    /** The agent reported neither a withdrawal nor a start, so this router can't determine whether the request ran. */
+    private handleNoReply(requestId: string, nowMs: number): void {
         const { state } = this;
         const entry = state.requests.get(requestId);
         if (entry?.stage !== "withdrawing" || entry.agentId === undefined) {
             return;
         }
         state.addEffect({ type: "cancelWork", requestId, agentId: entry.agentId });
-        state.refuse(entry, state.createRefusal("deadline", "unknown", undefined, "the agent does not answer"), nowMs);
+        state.refuse(
+            entry,
+            state.createRefusal("deadline", "unknown", undefined, "the agent did not reply to the withdrawal"),
+            nowMs,
+        );
     }
 }
--- a/src/fleet/router/offerSystem.ts
+++ b/src/fleet/router/offerSystem.ts
@@ -4,24 +4,24 @@
 import type { AgentEntry, RequestEntry } from "./tables.js";
 
 /**
- * Sends waiting requests to agents, up to the offer depth per (lane, agent), so that every backlog is seen by every agent
- * that could serve it and the agent can start whose turn it is.
+ * Offers waiting requests to agents, up to the offer depth per (lane, agent), so that each agent has requests of every
+ * backlog that it could serve and can start them in fair order.
  */
 export class OfferSystem {
-    /** Whether the last run stopped before everything was sent. */
+    /** Whether the last run reached `maxSendsPerTick` with requests still to send. */
     public hasMore = false;
 
     public constructor(private readonly state: RouterState) {}
 
-    /** Works through the lanes that can go on, by weight. */
+    /** Sends from the lanes that are not blocked, in proportion to their weights. */
     public run(nowMs: number): void {
-        let sends = 0;
+        let sentCount = 0;
         for (let next = this.findNext(); next !== undefined; next = this.findNext()) {
-            if (sends >= this.state.options.maxSendsPerTick) {
+            if (sentCount >= this.state.options.maxSendsPerTick) {
                 this.hasMore = true;
                 return;
             }
-            sends += this.handleNext(next, nowMs);
+            sentCount += this.handleNext(next, nowMs);
         }
         this.hasMore = false;
     }
@@ -31,11 +31,11 @@
         return next === undefined ? undefined : this.state.requests.get(next.requestId);
     }
 
-    /** Sends one request, refuses it, or lets its lane wait for a change; returns how many were sent. */
+    /** Sends one request, refuses it, or blocks its lane until a change; returns the number of requests sent. */
     private handleNext(entry: RequestEntry, nowMs: number): number {
         const { state } = this;
         const agents = this.listAllowed(entry);
-        const refusalDetail = agents.length === 0 ? this.describeHopeless(entry, nowMs) : undefined;
+        const refusalDetail = agents.length === 0 ? this.describeUnservable(entry, nowMs) : undefined;
         if (refusalDetail !== undefined) {
             const { execution } = entry;
             const refusal = state.createRefusal("no-target", execution, noTargetRetryAfterMs, refusalDetail);
@@ -57,22 +57,24 @@
         const { homeAgentId } = entry.lane;
         const agents = this.state.agents
             .listForService(entry.request.service)
-            .filter(agent => (homeAgentId === undefined ? agent.isAccepting : isHome(agent, homeAgentId)));
+            .filter(agent => (homeAgentId === undefined ? agent.isAccepting : isKeyOwner(agent, homeAgentId)));
         const untried = agents.filter(agent => !entry.triedAgentIds.includes(agent.agentId));
-        // An agent that held a non-idempotent request never gets it again: a late answer to the first sending could
-        // otherwise be taken for one to the second, and the request be run twice.
+        // A non-idempotent request is never sent twice to the same agent: a late reply to the first attempt could be
+        // mistaken for a reply to the second, and the request would run twice.
         return untried.length > 0 || !entry.request.idempotent ? untried : agents;
     }
 
-    /** Why waiting can't help a request that no agent may take now; undefined when it may. */
-    private describeHopeless(entry: RequestEntry, nowMs: number): string | undefined {
+    /** Why a request that no agent can accept now is refused instead of queued; undefined if it stays queued. */
+    private describeUnservable(entry: RequestEntry, nowMs: number): string | undefined {
         if (entry.lane.homeAgentId !== undefined) {
-            return "the key's home is away";
+            return "the agent that owns the idempotency key is unavailable";
         }
         if (!entry.request.idempotent && entry.triedAgentIds.length > 0) {
-            return "no agent is left to try";
+            return "no untried agent is available for this non-idempotent request";
         }
-        return this.state.isWithoutAgent(entry.request.service, nowMs) ? "no target serves this now" : undefined;
+        return this.state.isWithoutAgent(entry.request.service, nowMs)
+            ? "no target currently serves this service"
+            : undefined;
     }
 
     private choose(entry: RequestEntry, agents: readonly AgentEntry[]): AgentEntry | undefined {
@@ -114,8 +116,8 @@
     }
 }
 
-/** A home is asked also while it takes nothing new: only it can tell what became of a key. */
-function isHome(agent: AgentEntry, homeAgentId: string): boolean {
+/** A key owner is sent requests even while it accepts no new work, because only the owner has the key's status. */
+function isKeyOwner(agent: AgentEntry, homeAgentId: string): boolean {
     return agent.agentId === homeAgentId && !agent.isLost;
 }
 
--- a/src/fleet/router/options.ts
+++ b/src/fleet/router/options.ts
@@ -1,23 +1,27 @@
-/** What a router's core is built with; times in milliseconds. */
+/** Options of the router core; times in milliseconds. */
 export interface RouterOptions {
     /**
-     * Requests offered and not yet started per (lane, agent). Two, so that one waits in the agent's fair queue while the
-     * replacement of the other travels; more would only move backlog to where it can't be placed anew.
+     * Maximum number of requests offered and not yet started per (lane, agent). With two, one waits in the agent's fair
+     * queue while the replacement of the other is in transit. More would move backlog to an agent, where it can't be
+     * placed again.
      */
     readonly offerDepth: number;
-    /** A request that waits this long without any agent for its service is refused. */
+    /** A request is refused when no agent has accepted work for its service for this long. */
     readonly noTargetWaitMs: number;
-    /** A request that was moved stays for this, then for three times, seven times and so on as it moves again. */
+    /**
+     * Minimum time that a moved request stays at its agent before it may move again; three times this after the second
+     * move, then seven times and so on.
+     */
     readonly moveHoldMs: number;
-    /** A withdraw that was not answered is asked again after this. */
+    /** Interval after which an unacknowledged withdrawal is sent again. */
     readonly withdrawRepeatMs: number;
-    /** Past its deadline by this much without any answer from the agent, a request ends as unknown. */
+    /** How long past its deadline a request waits for a reply of the agent before it ends with execution "unknown". */
     readonly replyGraceMs: number;
-    /** Requests sent in one tick; the rest follow in the next, so that no tick holds the process for long. */
+    /** Maximum number of requests sent in one tick; the rest follow in the next, so that no tick blocks the process. */
     readonly maxSendsPerTick: number;
 }
 
-/** Options for the daemons. */
+/** Options used by the router daemons. */
 export const defaultRouterOptions: RouterOptions = {
     offerDepth: 2,
     noTargetWaitMs: 2_000,
--- a/src/fleet/router/retrySystem.ts
+++ b/src/fleet/router/retrySystem.ts
@@ -5,45 +5,45 @@
 import type { RouterState } from "./state.js";
 import type { RequestEntry } from "./tables.js";
 
-/** Decides what becomes of a request whose attempt did not end in an answer. */
+/** Decides whether a request whose attempt ended without a response is retried, moved or refused. */
 export class RetrySystem {
     public constructor(private readonly state: RouterState) {}
 
-    /** The way to the agent broke or the target failed. */
+    /** Handles an attempt that failed because the connection to the agent was lost or the target failed. */
     public handleFailed(entry: RequestEntry, execution: Execution, detail: string, nowMs: number): void {
         const failed: RequestEntry = { ...entry, execution: getExecution(entry, execution) };
         const refusal = this.state.createRefusal("target-failed", failed.execution, minRetryAfterMs, detail);
         this.handleFailure(failed, execution, refusal, nowMs);
     }
 
-    /** The agent turned the request away. */
+    /** Handles an attempt that the agent refused. */
     public handleRefused(entry: RequestEntry, refusal: Refusal, nowMs: number): void {
         const refused: RequestEntry = { ...entry, execution: getExecution(entry, refusal.execution) };
         const merged: Refusal = { ...refusal, execution: refused.execution };
         if (finalReasons.has(refusal.reason)) {
             this.state.refuse(refused, merged, nowMs);
-        } else if (awayReasons.has(refusal.reason) && refusal.execution === "not-run") {
-            this.handleAway(refused, merged, nowMs);
+        } else if (drainingReasons.has(refusal.reason) && refusal.execution === "not-run") {
+            this.handleDraining(refused, merged, nowMs);
         } else {
             this.handleFailure(refused, refusal.execution, merged, nowMs);
         }
     }
 
-    /** The agent gave the request back: it goes to another one, or ends if that was why it was asked back. */
+    /** Handles a withdrawn request: it returns to the backlog, or ends if it was withdrawn because of its deadline. */
     public handleWithdrawn(entry: RequestEntry, nowMs: number): void {
         const { state } = this;
         state.recordRequest("request-withdrawn", entry, { value: entry.attempt });
         if (entry.withdrawReason === "deadline") {
-            this.refuseLate(entry, nowMs);
+            this.refuseExpired(entry, nowMs);
         } else if (entry.lane.homeAgentId !== undefined) {
-            const detail = "the key's home gave the request back";
+            const detail = "the agent that owns the idempotency key returned the request";
             state.refuse(entry, state.createRefusal("draining", "not-run", minRetryAfterMs, detail), nowMs);
         } else {
-            this.addBack(entry, nowMs);
+            this.addToBacklogAgain(entry, nowMs);
         }
     }
 
-    /** The delay before a retry is over. */
+    /** Returns a request to the backlog after its retry delay. */
     public handleBackoffElapsed(requestId: string, nowMs: number): void {
         const entry = this.state.requests.get(requestId);
         if (entry?.stage === "delayed") {
@@ -51,8 +51,8 @@
         }
     }
 
-    /** An agent that drains turns everything away; that is no failure and takes nothing from the retry budget. */
-    private handleAway(entry: RequestEntry, refusal: Refusal, nowMs: number): void {
+    /** A draining agent refuses all requests; that is not a failure and doesn't consume the retry budget. */
+    private handleDraining(entry: RequestEntry, refusal: Refusal, nowMs: number): void {
         const agent = entry.agentId === undefined ? undefined : this.state.agents.get(entry.agentId);
         if (agent !== undefined) {
             this.state.agents.set({ ...agent, isAccepting: false });
@@ -60,20 +60,20 @@
         if (entry.lane.homeAgentId !== undefined) {
             this.state.refuse(entry, refusal, nowMs);
         } else {
-            this.addBack(entry, nowMs);
+            this.addToBacklogAgain(entry, nowMs);
         }
     }
 
-    /** The deadline's timer has gone off already, so that nothing else would end the request. */
-    private refuseLate(entry: RequestEntry, nowMs: number): void {
+    /** Refuses a request whose deadline timer has already fired; nothing else would end the request. */
+    private refuseExpired(entry: RequestEntry, nowMs: number): void {
         const detail = "the deadline passed before the request could start";
         const refusal = this.state.createRefusal("deadline", entry.execution, minRetryAfterMs, detail);
         this.state.refuse(entry, refusal, nowMs);
     }
 
-    private addBack(entry: RequestEntry, nowMs: number): void {
+    private addToBacklogAgain(entry: RequestEntry, nowMs: number): void {
         if (nowMs >= entry.request.deadlineAtMs) {
-            this.refuseLate(entry, nowMs);
+            this.refuseExpired(entry, nowMs);
             return;
         }
         this.state.removeFromStage(entry, nowMs);
@@ -84,16 +84,16 @@
         const { state } = this;
         const failures = entry.failures + 1;
         const { idempotent, clientAccount, deadlineAtMs } = entry.request;
-        const boundToHome = entry.lane.homeAgentId !== undefined;
+        const isBoundToOwner = entry.lane.homeAgentId !== undefined;
         if (
             nowMs >= deadlineAtMs ||
-            !canRetry({ idempotent, execution, attempt: failures, boundToOwner: boundToHome })
+            !canRetry({ idempotent, execution, attempt: failures, boundToOwner: isBoundToOwner })
         ) {
             state.refuse(entry, refusal, nowMs);
             return;
         }
         if (!state.budget.takeRetry(clientAccount, state.document?.limits.retryRatio ?? 0, nowMs)) {
-            const detail = `retries are used up (${refusal.detail})`;
+            const detail = `the account's retry budget is exhausted (${refusal.detail})`;
             state.refuse(entry, { ...refusal, reason: "retry-budget", detail }, nowMs);
             return;
         }
@@ -112,17 +112,17 @@
     }
 }
 
-/** Refusals that another agent would give too, or that only this one may give. */
+/** Refusals that every agent would return, or that only the key owner may return; they are not retried. */
 const finalReasons: ReadonlySet<string> = new Set(["deadline", "key-unknown", "key-required"]);
-/** Refusals of an agent that takes nothing new. */
-const awayReasons: ReadonlySet<string> = new Set(["draining", "stopping"]);
+/** Refusals of an agent that accepts no new work. */
+const drainingReasons: ReadonlySet<string> = new Set(["draining", "stopping"]);
 
-/** A key's home speaks for all attempts that were made under the key; other agents for their own attempt only. */
+/** A key owner's status covers all attempts made under the key; any other agent's status covers its own attempt only. */
 function getExecution(entry: RequestEntry, execution: Execution): Execution {
     return entry.lane.homeAgentId === undefined ? mergeExecution(entry.execution, execution) : execution;
 }
 
-/** What is known after several attempts: one that may have run makes the whole "unknown", one that ran "ran". */
+/** Combined execution status of several attempts: "ran" if any attempt ran, else "unknown" if any may have run. */
 function mergeExecution(first: Execution, second: Execution): Execution {
     if (first === "ran" || second === "ran") {
         return "ran";
--- a/src/fleet/router/routerCore.ts
+++ b/src/fleet/router/routerCore.ts
@@ -17,8 +17,9 @@
 import { WithdrawSystem } from "./withdrawSystem.js";
 
 /**
- * The deterministic core of role router: holds each account's backlog, offers work to agents, moves what waits at a busy
- * agent to one with room, retries what may be retried, and gives every request exactly one final outcome.
+ * Deterministic core of the router role: keeps each account's backlog, offers work to agents, moves queued requests from
+ * busy agents to agents with free capacity, retries failed requests where that is safe, and ends every request with exactly
+ * one outcome.
  */
 export class RouterCore implements Core<RouterMessage, RouterEffect> {
     private readonly state: RouterState;
@@ -65,17 +66,17 @@
         return this.offerSystem.hasMore ? this.lastTickAtMs : this.state.timers.nextAtMs();
     }
 
-    /** What all other agents gave; entries that changed since the version of an earlier call, all without one. */
+    /** Service provided by all other agents: entries changed since the version of an earlier call, all without one. */
     public createClaims(agentId: string, sinceVersion = 0): VersionedClaims {
         return this.state.claims.create(agentId, sinceVersion);
     }
 
-    /** What all other agents gave one account; travels with the account's requests. */
+    /** Service that all other agents provided to one account; sent along with the account's requests. */
     public findClaim(agentId: string, service: string, clientAccount: string): ServiceCounter | undefined {
         return this.state.claims.find(agentId, service, clientAccount);
     }
 
-    /** One line per account and service with weight, service given and what this router holds. */
+    /** One entry per account and service: weight, normalized service, and requests waiting and running in this router. */
     public listShares(): readonly ClientShare[] {
         const { document, requests, claims } = this.state;
         if (document === undefined) {
@@ -128,12 +129,12 @@
                 this.state.isStopping = true;
                 break;
             default:
-                this.receiveAnswer(message, nowMs);
+                this.receiveWorkMessage(message, nowMs);
         }
     }
 
-    private receiveAnswer(message: AnswerMessage, nowMs: number): void {
-        const entry = this.findHeld(message);
+    private receiveWorkMessage(message: WorkMessage, nowMs: number): void {
+        const entry = this.findAssigned(message);
         if (entry === undefined) {
             return;
         }
@@ -161,13 +162,13 @@
     }
 
     /**
-     * The request that an answer is about, if the answering agent holds it by this attempt. An answer to an earlier
-     * attempt would otherwise make a request look free that another agent holds, and it would run twice.
+     * Finds the request that a message refers to, if that attempt is still assigned to the agent. A message about
+     * an earlier attempt would otherwise make a request that another agent holds look unassigned, and it would run twice.
      */
-    private findHeld(message: AnswerMessage): RequestEntry | undefined {
+    private findAssigned(message: WorkMessage): RequestEntry | undefined {
         const entry = this.state.requests.get(message.requestId);
-        const isHeld = entry?.agentId === message.agentId && (message.attempt ?? entry.attempt) === entry.attempt;
-        return isHeld ? entry : undefined;
+        const isAssigned = entry?.agentId === message.agentId && (message.attempt ?? entry.attempt) === entry.attempt;
+        return isAssigned ? entry : undefined;
     }
 
     private handleStarted(entry: RequestEntry, nowMs: number): void {
@@ -198,4 +199,4 @@
     }
 }
 
-type AnswerMessage = Extract<RouterMessage, { readonly type: `work${string}` }>;
+type WorkMessage = Extract<RouterMessage, { readonly type: `work${string}` }>;
--- a/src/fleet/router/state.ts
+++ b/src/fleet/router/state.ts
@@ -11,7 +11,7 @@
 import { AgentTable, OfferTable, RequestTable, type Lane, type RequestEntry } from "./tables.js";
 import { TimerQueue } from "./timers.js";
 
-/** The tables of a router and the transitions that several systems share. */
+/** State of the router core, with the transitions that several systems share. */
 export class RouterState {
     public readonly agents = new AgentTable();
     public readonly requests = new RequestTable();
@@ -20,7 +20,7 @@
     public readonly claims = new ClaimTable();
     public readonly budget = new RetryBudget();
     public readonly lanes = new Map<string, Lane>();
-    /** Services without an agent that takes new work, with the time since when. */
+    /** Services for which no agent accepts new work, with the time at which that began; milliseconds. */
     public readonly withoutAgentSinceMs = new Map<string, number>();
     public readonly timers = new TimerQueue();
     public document: EnvironmentDocument | undefined;
@@ -38,7 +38,7 @@
         public readonly random: Random,
     ) {}
 
-    /** Takes over a newer document. */
+    /** Replaces the document with a newer one. */
     public setDocument(offset: number, document: EnvironmentDocument): void {
         this.document = document;
         this.documentOffset = offset;
@@ -50,7 +50,7 @@
         return this.document?.clientAccounts[clientAccount]?.weight ?? 1;
     }
 
-    /** An account's weight over the mean one. */
+    /** Weight of an account divided by the mean weight of all accounts. */
     public getRelativeWeight(clientAccount: string): number {
         return this.getWeight(clientAccount) / this.meanWeight;
     }
@@ -60,12 +60,11 @@
     }
 
     public takeEffects(): readonly RouterEffect[] {
-        const taken = this.effects;
+        const pending = this.effects;
         this.effects = [];
-        return taken;
+        return pending;
     }
 
-    /** Records an event of a request. */
     public recordRequest(kind: FleetEventKind, entry: RequestEntry, details: RequestEventDetails = {}): void {
         const agent = entry.agentId === undefined ? undefined : this.agents.get(entry.agentId);
         this.recorder.record({
@@ -80,12 +79,11 @@
         });
     }
 
-    /** Records that an agent was lost. */
     public recordAgentLost(target: string, dataCentre: string): void {
         this.recorder.record({ kind: "agent-lost", target, dataCentre });
     }
 
-    /** Measures how fast a lane's backlog drains. */
+    /** Drain rate of a lane's backlog, created on first use. */
     public getDrainRate(laneKey: string): DrainRate {
         let rate = this.drainRates.get(laneKey);
         if (rate === undefined) {
@@ -95,13 +93,13 @@
         return rate;
     }
 
-    /** Whether a service has had no agent for so long that its requests are refused. */
+    /** Whether a service has been without an agent for `noTargetWaitMs`, so that its requests are refused. */
     public isWithoutAgent(service: string, nowMs: number): boolean {
         const sinceMs = this.withoutAgentSinceMs.get(service);
         return sinceMs !== undefined && nowMs - sinceMs >= this.options.noTargetWaitMs;
     }
 
-    /** Puts a request into the backlog: behind the others, or at the head when it waited before. */
+    /** Adds a request to its lane's backlog: at the tail, or at the head if it was queued before. */
     public addToBacklog(entry: RequestEntry, position: "last" | "first", nowMs: number): void {
         const weight = this.getWeight(entry.lane.clientAccount);
         this.requests.set({ ...entry, stage: "waiting", agentId: undefined, withdrawReason: undefined });
@@ -113,7 +111,7 @@
         this.getDrainRate(entry.lane.key).handleBusy(nowMs);
     }
 
-    /** Takes a request out of where it stands; the caller then gives it its next stage or deletes it. */
+    /** Removes a request from the table of its current stage; the calling code then sets its next stage or deletes it. */
     public removeFromStage(entry: RequestEntry, nowMs: number): void {
         const laneKey = entry.lane.key;
         if (entry.stage === "waiting") {
@@ -125,46 +123,46 @@
         }
     }
 
-    /** Tells the lane's drain rate when its backlog has become empty. */
+    /** Marks the lane's drain rate as idle if its backlog is empty. */
     public updateDrainRate(laneKey: string, nowMs: number): void {
         if (this.backlog.count(laneKey) === 0) {
             this.getDrainRate(laneKey).handleIdle(nowMs);
         }
     }
 
-    /** Forgets a request. */
+    /** Removes a request from all tables, with its deadline timer. */
     public deleteRequest(entry: RequestEntry, nowMs: number): void {
         this.removeFromStage(entry, nowMs);
         this.requests.delete(entry.request.id);
         this.timers.remove("deadline", entry.request.id);
     }
 
-    /** Gives the caller its final answer. */
+    /** Ends a request with a refusal as its final outcome. */
     public refuse(entry: RequestEntry, refusal: Refusal, nowMs: number): void {
         this.deleteRequest(entry, nowMs);
         this.addEffect({ type: "refuse", requestId: entry.request.id, refusal });
         this.recordRequest("request-refused", entry, { reason: refusal.reason, execution: refusal.execution });
     }
 
-    /** A refusal whose time to come back is spread, so that refused callers don't return in one wave. */
+    /** Builds a refusal with jitter on its `Retry-After`, so that refused callers don't all retry at the same time. */
     public createRefusal(
         reason: RefusalReason,
         execution: Refusal["execution"],
         retryAfterMs: number | undefined,
         detail: string,
     ): Refusal {
-        const spread = 1 + retrySpread * this.random.next();
+        const jitterFactor = 1 + retryJitter * this.random.next();
         return {
             reason,
             execution,
-            retryAfterMs: retryAfterMs === undefined ? undefined : Math.round(retryAfterMs * spread),
+            retryAfterMs: retryAfterMs === undefined ? undefined : Math.round(retryAfterMs * jitterFactor),
             detail,
         };
     }
 }
 
-/** Part by which times to come back are spread. */
-const retrySpread = 0.25;
+/** Maximum jitter added to `Retry-After`, as a fraction of it. */
+const retryJitter = 0.25;
 
 interface RequestEventDetails {
     readonly reason?: string;
--- a/src/fleet/router/tables.ts
+++ b/src/fleet/router/tables.ts
@@ -1,69 +1,68 @@
 import type { AgentReport, Execution, WorkClass, WorkRequest } from "../entities.js";
 
 /**
- * Where a request stands. waiting: in the backlog. delayed: before a retry. offered: sent, not known to have started.
- * withdrawing: asked back. started: running at the target.
+ * Stage of an open request. waiting: in the backlog. delayed: in the backoff before a retry. offered: sent to an agent, no
+ * start reported. withdrawing: withdrawal requested, no reply yet. started: running at the target.
  */
 export type RequestStage = "waiting" | "delayed" | "offered" | "withdrawing" | "started";
 
-/** A request that this router answers for. */
+/** An open request of this router. */
 export interface RequestEntry {
     readonly request: WorkRequest;
     readonly lane: Lane;
     readonly stage: RequestStage;
-    /** Agent that holds it while offered, withdrawing or started. */
+    /** Agent to which the request is assigned while offered, withdrawing or started. */
     readonly agentId: string | undefined;
     /** Number of the last attempt; 0 before the first. */
     readonly attempt: number;
-    /** Attempts that failed, as against those withdrawn. */
+    /** Number of failed attempts; withdrawn attempts don't count. */
     readonly failures: number;
     readonly sentAtMs: number;
     readonly triedAgentIds: readonly string[];
-    /** Why it is being withdrawn. */
     readonly withdrawReason: "move" | "deadline" | undefined;
-    /** What is known of the attempts that failed. */
+    /** Combined execution status of the failed attempts. */
     readonly execution: Execution;
-    /** For placement by cached prefix. */
+    /** Hash for placement by cached prefix; undefined without a prefix. */
     readonly affinityHash: number | undefined;
 }
 
-/** Requests of one account, service and class (and home, for those bound to one) share a queue. */
+/** Queue of the requests of one account, service and class (and key owner, for requests bound to one). */
 export interface Lane {
     readonly key: string;
     readonly clientAccount: string;
     readonly service: string;
     readonly workClass: WorkClass;
-    /** Only agent that may run the lane's requests. */
+    /** The only agent that may run the lane's requests (the key owner); undefined if any agent may. */
     readonly homeAgentId: string | undefined;
 }
 
-/** An agent as this router sees it. */
+/** State of an agent by its last applied report. */
 export interface AgentEntry {
     readonly agentId: string;
     readonly nameHash: number;
     readonly report: AgentReport;
     readonly cachedPrefixes: ReadonlySet<string>;
-    /** Whether new work may be sent. */
+    /** Whether new work may be sent to the agent. */
     readonly isAccepting: boolean;
     readonly isLost: boolean;
-    /** Requests sent that the report can't count yet. */
+    /** Number of requests sent since the report, which the report doesn't include. */
     readonly sentSinceReport: number;
 }
 
-/** How much an account holds in this router. */
+/** Number of an account's open requests in this router. */
 export interface AccountCount {
     readonly waiting: number;
     readonly running: number;
 }
 
-const noCount: AccountCount = { waiting: 0, running: 0 };
+const zeroCount: AccountCount = { waiting: 0, running: 0 };
 
 /** Requests by id, with counts by account, by lane and in total. */
 export class RequestTable {
     private readonly rows = new Map<string, RequestEntry>();
     private readonly accounts = new Map<string, AccountCount>();
     private readonly lanes = new Map<string, number>();
-    private totals: AccountCount = noCount;
+    private totals: AccountCount = zeroCount;
 
     /** Waiting and running requests over all accounts. */
     public get total(): AccountCount {
@@ -78,22 +77,22 @@
         return this.rows.has(requestId);
     }
 
-    /** Requests of an account at a service are counted under "service\naccount". */
+    /** Open requests of an account over all services. */
     public countAccount(clientAccount: string): AccountCount {
-        return this.accounts.get(clientAccount) ?? noCount;
+        return this.accounts.get(clientAccount) ?? zeroCount;
     }
 
-    /** Requests of an account at one service. */
+    /** Open requests of an account at one service; stored under "service\naccount". */
     public countAccountAtService(service: string, clientAccount: string): AccountCount {
-        return this.accounts.get(`${service}\n${clientAccount}`) ?? noCount;
+        return this.accounts.get(`${service}\n${clientAccount}`) ?? zeroCount;
     }
 
-    /** Requests of a lane that have not started. */
+    /** Number of requests of a lane that have not started. */
     public countLane(laneKey: string): number {
         return this.lanes.get(laneKey) ?? 0;
     }
 
-    /** Puts a request or its next state. */
+    /** Inserts or replaces a request and updates the counts. */
     public set(entry: RequestEntry): void {
         const before = this.rows.get(entry.request.id);
         if (before !== undefined) {
@@ -120,7 +119,7 @@
         this.totals = add(this.totals);
         const { clientAccount, service } = entry.request;
         for (const key of [clientAccount, `${service}\n${clientAccount}`]) {
-            this.accounts.set(key, add(this.accounts.get(key) ?? noCount));
+            this.accounts.set(key, add(this.accounts.get(key) ?? zeroCount));
         }
         if (!isRunning) {
             this.lanes.set(entry.lane.key, this.countLane(entry.lane.key) + step);
@@ -141,7 +140,7 @@
         return this.rows.values();
     }
 
-    /** Agents that serve a service, whatever their state. */
+    /** Agents that serve a service, including lost agents and those that accept no new work. */
     public listForService(service: string): readonly AgentEntry[] {
         return (this.byService.get(service) ?? []).map(agentId => this.rows.get(agentId)!);
     }
@@ -198,22 +197,22 @@
         }
     }
 
-    /** Requests of an account that an agent holds, of all classes. */
+    /** Number of an account's requests in all classes that are offered to an agent. */
     public countAccount(agentId: string, lane: Lane): number {
         return this.byAccount.get(toAccountKey(agentId, lane)) ?? 0;
     }
 
-    /** Requests of a lane that an agent holds. */
+    /** Number of a lane's requests that are offered to an agent. */
     public count(agentId: string, laneKey: string): number {
         return this.byAgent.get(agentId)?.get(laneKey)?.size ?? 0;
     }
 
-    /** Requests that an agent holds, by lane, oldest first within a lane. */
+    /** Requests offered to an agent, by lane, oldest first within a lane. */
     public listByLane(agentId: string): ReadonlyMap<string, ReadonlySet<string>> {
         return this.byAgent.get(agentId) ?? new Map();
     }
 
-    /** Requests that an agent holds. */
+    /** Requests offered to an agent. */
     public list(agentId: string): readonly string[] {
         return [...this.listByLane(agentId).values()].flatMap(ids => [...ids]);
     }
--- a/src/fleet/router/timers.ts
+++ b/src/fleet/router/timers.ts
@@ -1,22 +1,22 @@
 import { IndexedHeap } from "../../decisions/structures/indexedHeap.js";
 
-/** Why a timer was set. */
+/** Purpose of a timer. */
 export type TimerKind = "deadline" | "backoff" | "withdraw-repeat" | "no-target" | "answer-grace";
 
-/** A point in time at which a request (or, for "no-target", a service) must be looked at. */
+/** Timer of a request (or, for "no-target", of a service); `key` is the request ID or the service name. */
 export interface Timer {
     readonly kind: TimerKind;
     readonly key: string;
 }
 
 /**
- * Timers ordered by time, one per kind and key. Deadlines are removed with their request, as they lie far ahead; the others
- * come up within seconds, and whoever handles them looks whether they still matter.
+ * Timers ordered by due time, one per kind and key. Deadlines are removed together with their request, because they may be
+ * far in the future. Other timers fire within seconds, and their handlers check whether they still apply.
  */
 export class TimerQueue {
     private readonly heap = new IndexedHeap<string>();
 
-    /** Sets a timer, or moves it when it is set. */
+    /** Sets a timer, or reschedules it if it is already set. */
     public set(kind: TimerKind, key: string, atMs: number): void {
         this.heap.set(`${kind}\n${key}`, atMs);
     }
@@ -25,19 +25,19 @@
         this.heap.remove(`${kind}\n${key}`);
     }
 
-    /** When the next timer is due. */
+    /** Time at which the next timer is due, in milliseconds; undefined without timers. */
     public nextAtMs(): number | undefined {
         return this.heap.getMin()?.priority;
     }
 
-    /** Takes the next timer if it is due. */
+    /** Removes and returns the next timer if it is due. */
     public takeDue(nowMs: number): Timer | undefined {
-        const least = this.heap.getMin();
-        if (least === undefined || least.priority > nowMs) {
+        const first = this.heap.getMin();
+        if (first === undefined || first.priority > nowMs) {
             return undefined;
         }
-        this.heap.remove(least.key);
-        const split = least.key.indexOf("\n");
-        return { kind: least.key.slice(0, split) as TimerKind, key: least.key.slice(split + 1) };
+        this.heap.remove(first.key);
+        const separatorIndex = first.key.indexOf("\n");
+        return { kind: first.key.slice(0, separatorIndex) as TimerKind, key: first.key.slice(separatorIndex + 1) };
     }
 }
--- a/src/fleet/router/withdrawSystem.ts
+++ b/src/fleet/router/withdrawSystem.ts
@@ -1,33 +1,36 @@
 import type { RouterState } from "./state.js";
 import type { AgentEntry, RequestEntry } from "./tables.js";
 
-/** Lanes looked at for one report: with hundreds of accounts at dozens of agents, a look at all takes milliseconds. */
+/**
+ * Maximum number of lanes examined per report. With hundreds of accounts at dozens of agents, examining all of them takes
+ * milliseconds.
+ */
 const maxLaneVisits = 256;
-/** Doublings of the hold time after which it grows no more: five seconds. */
+/** Maximum number of doublings of the hold time, which limits it to five seconds. */
 const maxHoldDoublings = 8;
 
 /**
- * Asks agents for requests back: when an agent takes nothing new, when another one has room (so that no slot idles while
- * work waits elsewhere), and when a deadline has passed.
+ * Withdraws offered requests from agents: when an agent accepts no new work, when another agent has free capacity (so that
+ * no slot is idle while requests wait at other agents), and when a deadline has passed.
  */
 export class WithdrawSystem {
-    private nextStart = 0;
+    private startIndex = 0;
 
     public constructor(private readonly state: RouterState) {}
 
-    /** Asks for one request back. */
-    public withdraw(entry: RequestEntry, withdrawFor: "move" | "deadline", nowMs: number): void {
+    /** Withdraws one request unless it has started. */
+    public withdraw(entry: RequestEntry, withdrawReason: "move" | "deadline", nowMs: number): void {
         const { agentId } = entry;
         if (agentId === undefined || entry.stage === "started") {
             return;
         }
-        this.state.requests.set({ ...entry, stage: "withdrawing", withdrawReason: withdrawFor });
+        this.state.requests.set({ ...entry, stage: "withdrawing", withdrawReason });
         if (entry.stage === "offered") {
             this.sendWithdraw(entry.request.id, agentId, nowMs);
         }
     }
 
-    /** A withdraw that wasn't answered in time is asked again; asking twice does no harm. */
+    /** Repeats a withdrawal that was not acknowledged in time; withdrawals are idempotent. */
     public handleRepeat(requestId: string, nowMs: number): void {
         const entry = this.state.requests.get(requestId);
         if (entry?.stage === "withdrawing" && entry.agentId !== undefined) {
@@ -35,7 +38,7 @@
         }
     }
 
-    /** Takes everything back that an agent holds and has not started. */
+    /** Withdraws all requests that are offered to an agent and have not started. */
     public withdrawAll(agentId: string, nowMs: number): void {
         for (const entry of this.listOffered(this.state.offers.list(agentId))) {
             this.withdraw(entry, "move", nowMs);
@@ -43,51 +46,55 @@
     }
 
     /**
-     * Moves requests that wait at busy agents to one that has room. Only lanes without backlog need it: the others are
-     * already offered to the agent. A request that has moved before stays longer, so that none is sent to and fro between
-     * agents whose free slots it may not use (long work and the slots kept for short).
+     * Moves requests that wait at busy agents to an agent with free capacity. This is needed only for lanes without
+     * backlog, as requests of the other lanes are already offered to the agent. A request that has moved before stays
+     * longer, so that it doesn't oscillate between agents whose free slots it may not use (long requests and the slots
+     * reserved for short ones).
      */
     public withdrawForCapacity(agent: AgentEntry, nowMs: number): void {
-        let room = computeRoom(agent);
+        let freeSlots = computeFreeSlots(agent);
         let visits = 0;
-        for (const other of room > 0 ? this.listBusy(agent) : []) {
+        for (const other of freeSlots > 0 ? this.listBusy(agent) : []) {
             for (const [laneKey, ids] of this.state.offers.listByLane(other.agentId)) {
                 visits += 1;
-                if (room <= 0 || visits > maxLaneVisits) {
+                if (freeSlots <= 0 || visits > maxLaneVisits) {
                     return;
                 }
                 if (this.canMove(laneKey, agent)) {
-                    const entry = this.listOffered(ids).find(candidate => this.hasStayed(candidate, nowMs));
+                    const entry = this.listOffered(ids).find(candidate => this.hasHoldElapsed(candidate, nowMs));
                     if (entry !== undefined) {
                         this.withdraw(entry, "move", nowMs);
-                        room -= 1;
+                        freeSlots -= 1;
                     }
                 }
             }
         }
     }
 
-    /** Agents without room, beginning with another one each time, so that none is left out when visits run out. */
+    /**
+     * Agents without free capacity, starting at a different agent each time, so that the visit limit doesn't exclude the
+     * same agents each time.
+     */
     private listBusy(agent: AgentEntry): readonly AgentEntry[] {
         const agents = [...this.state.agents.list()];
-        this.nextStart = (this.nextStart + 1) % agents.length;
-        const turned = [...agents.slice(this.nextStart), ...agents.slice(0, this.nextStart)];
-        return turned.filter(other => other.agentId !== agent.agentId && computeRoom(other) <= 0);
+        this.startIndex = (this.startIndex + 1) % agents.length;
+        const rotated = [...agents.slice(this.startIndex), ...agents.slice(0, this.startIndex)];
+        return rotated.filter(other => other.agentId !== agent.agentId && computeFreeSlots(other) <= 0);
     }
 
-    /** Moves what waits at a busy agent to the one with the most room. */
+    /** Moves requests that wait at a busy agent to the agent with the most free capacity. */
     public withdrawFromBusy(agent: AgentEntry, nowMs: number): void {
-        if (this.state.offers.listByLane(agent.agentId).size === 0 || computeRoom(agent) > 0) {
+        if (this.state.offers.listByLane(agent.agentId).size === 0 || computeFreeSlots(agent) > 0) {
             return;
         }
-        let roomiest: AgentEntry | undefined;
+        let mostFreeAgent: AgentEntry | undefined;
         for (const other of this.state.agents.list()) {
-            if (computeRoom(other) > (roomiest === undefined ? 0 : computeRoom(roomiest))) {
-                roomiest = other;
+            if (computeFreeSlots(other) > (mostFreeAgent === undefined ? 0 : computeFreeSlots(mostFreeAgent))) {
+                mostFreeAgent = other;
             }
         }
-        if (roomiest !== undefined) {
-            this.withdrawForCapacity(roomiest, nowMs);
+        if (mostFreeAgent !== undefined) {
+            this.withdrawForCapacity(mostFreeAgent, nowMs);
         }
     }
 
@@ -103,7 +110,7 @@
         );
     }
 
-    private hasStayed(entry: RequestEntry, nowMs: number): boolean {
+    private hasHoldElapsed(entry: RequestEntry, nowMs: number): boolean {
         const doublings = Math.min(maxHoldDoublings, entry.attempt - 1);
         return nowMs - entry.sentAtMs >= this.state.options.moveHoldMs * (2 ** doublings - 1);
     }
@@ -121,8 +128,8 @@
     }
 }
 
-/** Requests that the agent could start at once, as far as this router knows. */
-function computeRoom(agent: AgentEntry): number {
+/** Number of requests that the agent could start immediately, by its last report and the requests sent since. */
+function computeFreeSlots(agent: AgentEntry): number {
     if (!agent.isAccepting) {
         return 0;
     }
--- a/test/fleet/routerCore.property.test.ts
+++ b/test/fleet/routerCore.property.test.ts
@@ -27,10 +27,10 @@
 );
 
 describe("RouterCore under faults", () => {
-    it("keeps its promises whatever the network and the agents do", () => {
-        // Callers see exactly one outcome per request. Offers, withdraws and answers are lost with their connection,
-        // repeated and reordered; agents drain, vanish and come back. A non-idempotent request must never be at two agents
-        // nor run twice, and "not run" must be true, because the caller then sends it again.
+    it("gives each request one outcome and runs non-idempotent requests at most once, whatever the faults", () => {
+        // Callers must see exactly one outcome per request. Offers, withdrawals and replies are lost with their
+        // connection, repeated and reordered; agents drain, are lost and recover. A non-idempotent request must never be
+        // assigned to two agents nor run twice, and "not-run" must be true, because the caller then retries.
         fc.assert(
             fc.property(fc.array(step, { maxLength: 200, size: "max" }), fc.nat(), agentIds, (steps, seed, ids) => {
                 const fleet = new FakeFleet(seed, ids);
--- a/test/fleet/routerCore.test.ts
+++ b/test/fleet/routerCore.test.ts
@@ -7,9 +7,9 @@
     effect.type === "refuse"
         ? `refuse ${effect.requestId} ${effect.refusal.reason} ${effect.refusal.execution}`
         : `${effect.type} ${effect.requestId} ${effect.agentId}`;
-const printAll = (effects: readonly RouterEffect[]): readonly string[] => effects.map(printEffect);
+const printEffects = (effects: readonly RouterEffect[]): readonly string[] => effects.map(printEffect);
 const submit = (core: RouterCore, id: string, nowMs: number, changes = {}, homeAgentId?: string): readonly string[] =>
-    printAll(core.handle({ type: "submitted", request: createRequest(id, changes), homeAgentId }, nowMs));
+    printEffects(core.handle({ type: "submitted", request: createRequest(id, changes), homeAgentId }, nowMs));
 
 describe("offering", () => {
     it("offers an account's backlog to every agent up to the offer depth and keeps the rest", () => {
@@ -28,7 +28,7 @@
         expect([core.countWaiting(), core.countRunning()]).toEqual([10, 0]);
         const firstAgentId = sent[0]?.split(" ")[2] ?? "";
         const next = core.handle({ type: "workStarted", requestId: "r0", agentId: firstAgentId }, 1);
-        expect([firstAgentId, ...printAll(next)]).toMatchInlineSnapshot(`
+        expect([firstAgentId, ...printEffects(next)]).toMatchInlineSnapshot(`
           [
             "t2",
             "sendWork r6 t2",
@@ -36,7 +36,7 @@
         `);
     });
 
-    it("moves what waits at a busy agent to one that reports room", () => {
+    it("moves a request that waits at a busy agent to an agent that reports free capacity", () => {
         const core = createRouter(["t1"]);
         expect(submit(core, "r1", 0)).toMatchInlineSnapshot(`
           [
@@ -44,21 +44,21 @@
           ]
         `);
         core.handle({ type: "agentReported", report: createReport("t1", 2, { running: 4, queued: 1 }) }, 50);
-        const asked = core.handle({ type: "agentReported", report: createReport("t2", 1) }, 100);
-        expect(printAll(asked)).toMatchInlineSnapshot(`
+        const withdrawals = core.handle({ type: "agentReported", report: createReport("t2", 1) }, 100);
+        expect(printEffects(withdrawals)).toMatchInlineSnapshot(`
           [
             "withdrawWork r1 t1",
           ]
         `);
         const moved = core.handle({ type: "workWithdrawn", requestId: "r1", agentId: "t1" }, 101);
-        expect(printAll(moved)).toMatchInlineSnapshot(`
+        expect(printEffects(moved)).toMatchInlineSnapshot(`
           [
             "sendWork r1 t2",
           ]
         `);
     });
 
-    it("does not send anew when the withdraw came too late", () => {
+    it("does not send the request again when the withdrawal came too late", () => {
         const core = createRouter(["t1"]);
         submit(core, "r1", 0);
         core.handle({ type: "agentReported", report: createReport("t1", 2, { running: 4, queued: 1 }) }, 50);
@@ -69,16 +69,16 @@
     });
 });
 
-describe("leaving agents", () => {
-    it("takes queued work back and sends nothing new once the document says that a data centre is out", () => {
+describe("agents out of service", () => {
+    it("withdraws queued requests and sends no new ones once the document takes a data centre out", () => {
         const core = createRouter(["t1", "t3"], {}, createDocument());
         submit(core, "r1", 0);
         submit(core, "r2", 0);
-        const out = createDocument({
+        const documentWithoutB = createDocument({
             dataCentres: { a: { region: "r", state: "in" }, b: { region: "r", state: "out" } },
         });
-        const asked = core.handle({ type: "documentAccepted", offset: 1, document: out }, 10);
-        expect(printAll(asked)).toMatchInlineSnapshot(`
+        const withdrawals = core.handle({ type: "documentAccepted", offset: 1, document: documentWithoutB }, 10);
+        expect(printEffects(withdrawals)).toMatchInlineSnapshot(`
           [
             "withdrawWork r2 t3",
           ]
@@ -88,17 +88,17 @@
             "sendWork r3 t1",
           ]
         `);
-        // An older document that arrives late must not bring the data centre back.
+        // An older document that arrives late must not return the data centre to service.
         core.handle({ type: "documentAccepted", offset: 0, document: createDocument() }, 21);
         expect(submit(core, "r4", 22)).toMatchInlineSnapshot(`[]`);
     });
 
-    it("refuses at once, truthfully, when no agent serves for longer than the bound", () => {
+    it("refuses as not-run once no agent has served for the maximum wait, and later requests immediately", () => {
         const core = createRouter(["t1"]);
         core.handle({ type: "agentReported", report: createReport("t1", 2, { phase: "draining" }) }, 0);
         expect(submit(core, "r1", 100)).toEqual([]);
         expect(core.nextTickAtMs()).toBe(2_000);
-        expect(printAll(core.tick(2_000))).toMatchInlineSnapshot(`
+        expect(printEffects(core.tick(2_000))).toMatchInlineSnapshot(`
           [
             "refuse r1 no-target not-run",
           ]
@@ -111,10 +111,10 @@
     });
 });
 
-describe("requests bound to a home", () => {
+describe("requests bound to a key owner", () => {
     const keyed = { idempotent: false, idempotencyKey: "key-1" };
 
-    it("go to the home only and are refused at once when it is away", () => {
+    it("are sent to the key owner only and refused immediately when it is unavailable", () => {
         const core = createRouter(["t1", "t2"]);
         expect(submit(core, "r1", 0, keyed, "t2")).toMatchInlineSnapshot(`
           [
@@ -134,21 +134,22 @@
     });
 
     it("end as unknown when the connection is lost after sending", () => {
-        // The caller sees 503 with execution "unknown". The router sent the request to the key's home, then the connection
-        // broke; whether the home ran it can't be known here, so that it must be sent nowhere else.
+        // The router sent the request to the key owner, then the connection was lost. The router can't determine whether
+        // the owner ran the request, so it must not send it to another agent. The caller receives 503 with execution
+        // "unknown".
         const core = createRouter(["t1", "t2"]);
         submit(core, "r1", 0, keyed, "t2");
         const ended = core.handle(
             { type: "workFailed", requestId: "r1", agentId: "t2", execution: "unknown", detail: "reset" },
             10,
         );
-        expect(printAll(ended)).toMatchInlineSnapshot(`
+        expect(printEffects(ended)).toMatchInlineSnapshot(`
           [
             "refuse r1 target-failed unknown",
           ]
         `);
         submit(core, "r2", 20, keyed, "t2");
-        expect(printAll(core.handle({ type: "agentLost", agentId: "t2" }, 30))).toMatchInlineSnapshot(`
+        expect(printEffects(core.handle({ type: "agentLost", agentId: "t2" }, 30))).toMatchInlineSnapshot(`
           [
             "cancelWork r2 t2",
             "refuse r2 target-failed unknown",
@@ -156,12 +157,12 @@
         `);
     });
 
-    it("pass a refusal of the home on", () => {
+    it("forward a refusal of the key owner", () => {
         const core = createRouter(["t1", "t2"]);
         submit(core, "r1", 0, keyed, "t2");
         const refusal = { reason: "key-unknown", execution: "unknown", retryAfterMs: undefined, detail: "x" } as const;
         const ended = core.handle({ type: "workRefused", requestId: "r1", agentId: "t2", refusal }, 10);
-        expect(printAll(ended)).toMatchInlineSnapshot(`
+        expect(printEffects(ended)).toMatchInlineSnapshot(`
           [
             "refuse r1 key-unknown unknown",
           ]
@@ -170,23 +171,23 @@
 });
 
 describe("deadlines", () => {
-    it("ends a request that the agent gives back as not run, and one without any answer as unknown", () => {
+    it("ends a withdrawn request as not-run, and one without any reply as unknown", () => {
         const core = createRouter(["t1"]);
         submit(core, "r1", 0, { deadlineAtMs: 1_000 });
         submit(core, "r2", 0, { deadlineAtMs: 1_000 });
-        expect(printAll(core.tick(1_000))).toMatchInlineSnapshot(`
+        expect(printEffects(core.tick(1_000))).toMatchInlineSnapshot(`
           [
             "withdrawWork r1 t1",
             "withdrawWork r2 t1",
           ]
         `);
-        const given = core.handle({ type: "workWithdrawn", requestId: "r1", agentId: "t1" }, 1_001);
-        expect(printAll(given)).toMatchInlineSnapshot(`
+        const withdrawn = core.handle({ type: "workWithdrawn", requestId: "r1", agentId: "t1" }, 1_001);
+        expect(printEffects(withdrawn)).toMatchInlineSnapshot(`
           [
             "refuse r1 deadline not-run",
           ]
         `);
-        expect(printAll(core.tick(3_000))).toMatchInlineSnapshot(`
+        expect(printEffects(core.tick(3_000))).toMatchInlineSnapshot(`
           [
             "withdrawWork r2 t1",
             "cancelWork r2 t1",
@@ -196,11 +197,11 @@
         expect(core.countWaiting()).toBe(0);
     });
 
-    it("does not say not-run after an attempt that may have run", () => {
+    it("does not report not-run after an attempt that may have run", () => {
         const core = createRouter(["t1"]);
         submit(core, "r1", 0, { deadlineAtMs: 1_000 });
         core.handle({ type: "agentLost", agentId: "t1" }, 999.9);
-        const ended = printAll([...core.tick(1_000), ...core.tick(3_000)]);
+        const ended = printEffects([...core.tick(1_000), ...core.tick(3_000)]);
         expect(ended).toMatchInlineSnapshot(`
           [
             "refuse r1 deadline unknown",
@@ -209,10 +210,10 @@
     });
 });
 
-describe("counterexamples found by the property test", () => {
+describe("regressions found by the property test", () => {
     it("ends a request whose attempt fails after its deadline", () => {
-        // The deadline passed while the agent was asked to give the request back. Then the connection broke. The retry
-        // had no deadline timer any more, so the caller waited for ever.
+        // The deadline passes while a withdrawal is pending, then the connection is lost. A retry would have no deadline
+        // timer any more, and the caller would wait for ever.
         const core = createRouter(["t1"]);
         submit(core, "r1", 0, { deadlineAtMs: 1_000 });
         core.tick(1_000);
@@ -220,22 +221,22 @@
             { type: "workFailed", requestId: "r1", agentId: "t1", execution: "unknown", detail: "reset" },
             1_001,
         );
-        expect(printAll(ended)).toMatchInlineSnapshot(`
+        expect(printEffects(ended)).toMatchInlineSnapshot(`
           [
             "refuse r1 target-failed unknown",
           ]
         `);
     });
 
-    it("ends a request that returns to the backlog when its service has had no agent for long", () => {
-        // The agent drained, and the look at what waits came while the request was still there. It was given back later,
-        // and nothing looked at it again.
+    it("ends a request that returns to the backlog after its service has had no agent for the maximum wait", () => {
+        // The agent drains, and the check of waiting requests runs while the request is still at the agent. The request
+        // is withdrawn later and must be checked then, as no further timer would end it.
         const core = createRouter(["t1"]);
         submit(core, "r1", 0);
         core.handle({ type: "agentReported", report: createReport("t1", 2, { phase: "draining" }) }, 10);
         core.tick(2_010);
         const ended = core.handle({ type: "workWithdrawn", requestId: "r1", agentId: "t1" }, 3_000);
-        expect(printAll(ended)).toMatchInlineSnapshot(`
+        expect(printEffects(ended)).toMatchInlineSnapshot(`
           [
             "refuse r1 no-target not-run",
           ]
@@ -252,7 +253,7 @@
         lift,
     });
 
-    it("gives an agent the sums of all others, keeps dead incarnations and never falls", () => {
+    it("reports the totals of all other agents, keeps ended incarnations and never decreases", () => {
         const core = createRouter(["t1", "t2", "t3"]);
         core.handle({ type: "agentReported", report: createReport("t1", 2, { counters: [counter(10)] }) }, 1);
         core.handle({ type: "agentReported", report: createReport("t2", 2, { counters: [counter(5, 3)] }) }, 2);
@@ -268,11 +269,11 @@
             },
           ]
         `);
-        // Only t1's own counters changed since: there is nothing to tell t1, but t2 must hear of it.
+        // Only t1's own counters have changed: t1 gets no claims, but t2 must receive the change.
         core.handle({ type: "agentReported", report: createReport("t1", 3, { counters: [counter(12)] }) }, 3);
         expect(core.createClaims("t1", first.version).claims).toEqual([]);
         expect(core.createClaims("t2", first.version).claims.map(claim => claim.charged)).toEqual([12]);
-        // A restarted t1 begins at zero; what it gave before now counts as given by others.
+        // A restarted t1 starts at zero; service of its earlier incarnation now counts as provided by others.
         const identity = { ...createReport("t1", 1).identity, incarnation: 2 };
         core.handle({ type: "agentReported", report: createReport("t1", 1, { identity }) }, 4);
         expect(core.createClaims("t1", first.version).claims.map(claim => claim.charged)).toEqual([17]);
@@ -288,14 +289,14 @@
         `);
     });
 
-    // An exchange's report with many counters crosses a small one that goes along with an answer and is newer. Dropped as
-    // late with all that it brought, its counters would be missing from the sums until those accounts are charged again,
-    // since the exchange has acknowledged them; a resting account would look as if it had been given less than it was.
-    it("takes the counters of a report that was overtaken", () => {
+    // A report of an exchange with many counters can arrive after a newer, small report that was sent along with a
+    // response. If the router dropped the older report, its counters would be missing from the totals until those accounts
+    // are charged again, since the exchange has acknowledged them. An idle account would appear to have been served less.
+    it("applies the counters of a report that arrives after a newer one", () => {
         const core = createRouter(["t1", "t2"]);
         core.handle({ type: "agentReported", report: createReport("t1", 5, { window: 3 }) }, 1);
-        const overtaken = createReport("t1", 4, { window: 9, counters: [counter(10)] });
-        core.handle({ type: "agentReported", report: overtaken }, 2);
+        const outdated = createReport("t1", 4, { window: 9, counters: [counter(10)] });
+        core.handle({ type: "agentReported", report: outdated }, 2);
         expect(core.createClaims("t2").claims.map(claim => claim.charged)).toEqual([10]);
     });
 });
--- a/test/fleet/routerFixtures.ts
+++ b/test/fleet/routerFixtures.ts
@@ -5,7 +5,7 @@
 import { defaultRouterOptions, type RouterOptions } from "../../src/fleet/router/options.js";
 import { RouterCore } from "../../src/fleet/router/routerCore.js";
 
-/** Targets t1 and t2 in data centre a, t3 in b; a department of weight 16 and clubs of weight 1. */
+/** Builds a document with targets t1 and t2 in data centre a, t3 in b, a department of weight 16 and clubs of weight 1. */
 export function createDocument(changes: Partial<EnvironmentDocument> = {}): EnvironmentDocument {
     const target = (dataCentre: string): EnvironmentDocument["targets"][string] => ({
         dataCentre,
@@ -37,7 +37,7 @@
     };
 }
 
-/** A short idempotent request that arrives now. */
+/** Builds a short idempotent request that arrives at time 0. */
 export function createRequest(id: string, changes: Partial<WorkRequest> = {}): WorkRequest {
     return {
         id,
@@ -56,7 +56,7 @@
     };
 }
 
-/** A report of an idle warm agent; t3 is in data centre b. */
+/** Builds a report of an idle warm agent; t3 is in data centre b. */
 export function createReport(agentId: string, sequence: number, changes: Partial<AgentReport> = {}): AgentReport {
     return {
         identity: {
@@ -80,7 +80,7 @@
     };
 }
 
-/** A router that has a document and knows the named agents as idle. */
+/** Builds a router core that has a document and a report of each named agent as idle. */
 export function createRouter(
     agentIds: readonly string[],
     options: Partial<RouterOptions> = {},
