--- a/src/fleet/router/retrySystem.ts
+++ b/src/fleet/router/retrySystem.ts
@@ -29,7 +29,10 @@
         }
     }
 
-    /** Handles a withdrawn request: it returns to the backlog, or ends if it was withdrawn because of its deadline. */
+    /**
+     * Handles a withdrawn request: it returns to the backlog, unless it was withdrawn because of its deadline or is bound to
+     * a key owner, in which case it is refused.
+     */
     public handleWithdrawn(entry: RequestEntry, nowMs: number): void {
         const { state } = this;
         state.recordRequest("request-withdrawn", entry, { value: entry.attempt });
