--- a/src/fleet/keys/issuedKey.ts
+++ b/src/fleet/keys/issuedKey.ts
@@ -3,7 +3,7 @@
 import { z } from "zod";
 import { LynxarchError } from "../../base/errors.js";
 
-/** Every issued key begins with this; caller-chosen keys never do. */
+/** Prefix of every issued key; a key with this prefix is never treated as caller-chosen. */
 export const issuedKeyPrefix = "lx1.";
 
 const maxKeyLength = 512;
@@ -18,30 +18,34 @@
     nonce: z.string().min(1),
 });
 
-/** What an issued key says: the one process that may run it, for whom, for what, and until when. */
+/** Claims of an issued key: the only process that may start its request, the account, the service, and the expiry. */
 export type IssuedKeyClaims = Readonly<z.infer<typeof claimsSchema>>;
 
-/** An issued key that cannot be accepted. */
+/** An issued key is malformed or not signed with the shared secret. */
 export class IssuedKeyError extends LynxarchError {
     public readonly code = "issued-key-invalid";
 
     public constructor(public readonly problem: "malformed" | "signature") {
-        super(problem === "malformed" ? "The issued key is malformed." : "The issued key's signature is not ours.");
+        super(
+            problem === "malformed"
+                ? "The issued idempotency key is malformed."
+                : "The issued idempotency key is not signed with this fleet's secret.",
+        );
     }
 }
 
-/** Whether a key claims to be issued by a router. */
+/** Whether a key has the prefix of issued keys; its signature is not checked. */
 export function isIssuedKey(key: string): boolean {
     return key.startsWith(issuedKeyPrefix);
 }
 
-/** Makes a key out of its claims; the secret is the one that all daemons share. */
+/** Creates an issued key from its claims, signed with the secret that all daemons share. */
 export function signIssuedKey(secret: string, claims: IssuedKeyClaims): string {
     const payload = Buffer.from(JSON.stringify(claims)).toString("base64url");
     return `${issuedKeyPrefix}${payload}.${computeMac(secret, payload).toString("base64url")}`;
 }
 
-/** Reads a key's claims once its signature is proved. Errors: malformed, or signed with another secret. */
+/** Verifies a key's signature and returns its claims. Errors: malformed, or signed with another secret. */
 export function verifyIssuedKey(secret: string, key: string): Result<IssuedKeyClaims, IssuedKeyError> {
     const parts = key.slice(issuedKeyPrefix.length).split(".");
     if (!isIssuedKey(key) || key.length > maxKeyLength || parts.length !== 2) {
@@ -49,13 +53,14 @@
     }
     const [payload, mac] = parts;
     const expected = computeMac(secret, payload);
-    const given = Buffer.from(mac, "base64url");
-    // A comparison that stops at the first differing byte lets a client find a valid signature byte by byte.
-    if (given.length !== expected.length || !timingSafeEqual(given, expected)) {
+    const actual = Buffer.from(mac, "base64url");
+    // A comparison that stops at the first different byte would let a client find a valid signature byte by byte.
+    if (actual.length !== expected.length || !timingSafeEqual(actual, expected)) {
         return err(new IssuedKeyError("signature"));
     }
-    // Base64url has several spellings of one value; only ours counts, so that one key is never two table entries.
-    if (given.toString("base64url") !== mac) {
+    // Several base64url strings decode to the same bytes; only the canonical one is accepted, so that one key never has two
+    // table entries.
+    if (actual.toString("base64url") !== mac) {
         return err(new IssuedKeyError("malformed"));
     }
     return parseClaims(payload);
--- a/src/fleet/keys/keyOwner.ts
+++ b/src/fleet/keys/keyOwner.ts
@@ -4,34 +4,34 @@
 import { isIssuedKey, verifyIssuedKey } from "./issuedKey.js";
 import { hashKey, type KeyUse } from "./keyUse.js";
 
-/** An agent as the roster in the log names it; what the control protocol's roster entry holds, as far as keys need it. */
+/** The fields of the control protocol's roster entry that finding the owner of a key needs. */
 export interface RosterAgent {
     readonly daemonId: string;
     readonly incarnation: number;
     readonly services: readonly string[];
 }
 
-/** The agent to which every use of a key goes. */
+/** The agent that handles every request with a key. */
 export interface KeyOwner {
     readonly agentId: string;
-    /** Set for issued keys: no other incarnation may run it. */
+    /** Set for issued keys: no other incarnation may start the request. */
     readonly incarnation: number | undefined;
 }
 
 /**
- * Finds the home of a key. `agents` are the roster's entries of role agent, as this router last read them; a router with
- * an old view asks the wrong agent, which refuses and names the right one.
- * Errors: the answer to give to the caller.
+ * Finds the owner of a key. `agents` are the roster entries with the role agent, as this router last read them; a router
+ * with an outdated roster may send the request to the wrong agent, which refuses it and names the owner.
+ * Errors: the refusal to return to the caller.
  */
 export function findKeyOwner(
     use: Pick<KeyUse, "clientAccount" | "service" | "key">,
     agents: readonly RosterAgent[],
     secret: string,
 ): Result<KeyOwner, Refusal> {
-    return isIssuedKey(use.key) ? findIssuedHome(use, agents, secret) : findChosenHome(use, agents);
+    return isIssuedKey(use.key) ? findIssuedKeyOwner(use, agents, secret) : findChosenKeyOwner(use, agents);
 }
 
-function findIssuedHome(
+function findIssuedKeyOwner(
     use: Pick<KeyUse, "clientAccount" | "service" | "key">,
     agents: readonly RosterAgent[],
     secret: string,
@@ -39,24 +39,28 @@
     return verifyIssuedKey(secret, use.key)
         .mapErr(error => createRefusal(error.message))
         .andThen(({ agentId, incarnation }) => {
-            const known = agents.find(agent => agent.daemonId === agentId);
-            // A key from a router that has seen a newer roster may name an incarnation that is not known here yet.
-            return known !== undefined && known.incarnation > incarnation
-                ? err(createRefusal("The process that could tell whether the key was used is gone."))
+            const rosterAgent = agents.find(agent => agent.daemonId === agentId);
+            // A key from a router with a newer roster may name an incarnation that is not in this router's roster yet.
+            return rosterAgent !== undefined && rosterAgent.incarnation > incarnation
+                ? err(
+                      createRefusal(
+                          "The process for which the idempotency key was issued has ended; whether the key was used is unknown.",
+                      ),
+                  )
                 : ok({ agentId, incarnation });
         });
 }
 
-function findChosenHome(
+function findChosenKeyOwner(
     use: Pick<KeyUse, "clientAccount" | "service" | "key">,
     agents: readonly RosterAgent[],
 ): Result<KeyOwner, Refusal> {
     const serving = agents.filter(agent => agent.services.includes(use.service));
-    const [home] = orderByRendezvous(hashKey(use), serving, agent => agent.daemonId);
-    if (home === undefined) {
+    const [owner] = orderByRendezvous(hashKey(use), serving, agent => agent.daemonId);
+    if (owner === undefined) {
         return err({ ...createRefusal("No agent in the roster serves the service."), reason: "no-target" });
     }
-    return ok({ agentId: home.daemonId, incarnation: undefined });
+    return ok({ agentId: owner.daemonId, incarnation: undefined });
 }
 
 function createRefusal(detail: string): Refusal {
--- a/src/fleet/keys/keyOwnerAuthority.ts
+++ b/src/fleet/keys/keyOwnerAuthority.ts
@@ -6,40 +6,40 @@
 import { SteadyWallClock } from "./steadyWallClock.js";
 import { canHaveStartedBefore } from "./takeover.js";
 
-/** What a home knows of a key that is not in its table. */
+/** Whether this process may start the request of a key that is not in its table. */
 export type KeyStatus =
-    /** No process has started it, and none but this one can. */
+    /** No process has started the request, and only this process can. */
     | { readonly type: "new" }
-    /** It may not start here. */
+    /** The request must not start in this process. */
     | {
           readonly type: "refused";
           readonly refusal: Refusal;
-          /** The agent that is the home; this one has not started the key and never will on this request. */
+          /** Agent that owns the key, for a redirect; this process neither has started nor will start the request. */
           readonly homeAgentId?: string;
       };
 
-/** Checks a key that is not in the table, at this very moment. */
+/** Checks whether a key that is not in the table may be started at the given instant. */
 export interface KeyAuthority {
     check(use: KeyUse, at: Instant): KeyStatus;
 }
 
 interface Confirmation {
     readonly history: RosterHistory;
-    /** When the read of the log began: what the log says is true at least until then. */
-    readonly began: Instant;
+    /** When the read of the log began; the history contains every record appended before then. */
+    readonly startedAt: Instant;
 }
 
 /**
- * Decides whether this process may start a key that it has not seen.
- * Issued keys: the process that the key names, until the key expires; needs neither log nor lease.
- * Caller-chosen keys: the home by rendezvous hash, while a read of the log is younger than the lease, and only if no
- * earlier home can have started the key.
+ * Decides whether this process may start the request of a key that is not in its table.
+ * An issued key may be started by the process that it names until it expires; this needs neither log nor lease.
+ * A caller-chosen key may be started by its owner, which rendezvous hashing selects. The owner must have begun a
+ * successful read of the log within the lease, and no earlier owner can have started the request.
  */
 export class KeyOwnerAuthority implements KeyAuthority {
     private readonly wallClock = new SteadyWallClock();
     private confirmation: Confirmation | undefined;
-    /** The own tenure, and the end of the first read that showed it. */
-    private registered: { readonly tenure: Tenure; readonly seen: Instant } | undefined;
+    /** This agent's tenure, and when the first read that contained it completed. */
+    private registered: { readonly tenure: Tenure; readonly firstSeenAt: Instant } | undefined;
 
     public constructor(
         private readonly self: { readonly agentId: string; readonly incarnation: number },
@@ -48,19 +48,20 @@
     ) {}
 
     /**
-     * Takes in what a read of the roster stream up to its end showed. `began` is the instant before the read was sent,
-     * `ended` the instant its answer was there. A read that waits for news confirms nothing beyond its beginning, so
-     * keep the wait far below the lease.
+     * Applies the result of a read of the roster stream up to its end. `startedAt` is the instant before the read was
+     * sent, `completedAt` the instant at which its reply arrived. The lease is counted from the start of the read, so the
+     * wait of a long poll must be far shorter than the lease.
      */
-    public update(history: RosterHistory, began: Instant, ended: Instant): void {
-        if (this.confirmation !== undefined && began.nowMs < this.confirmation.began.nowMs) {
+    public update(history: RosterHistory, startedAt: Instant, completedAt: Instant): void {
+        if (this.confirmation !== undefined && startedAt.nowMs < this.confirmation.startedAt.nowMs) {
             return;
         }
-        this.confirmation = { history, began };
+        this.confirmation = { history, startedAt };
         const tenure = this.getOwnTenure(history);
-        // An agent that was evicted by mistake and registers again settles anew: agents that join meanwhile count on it.
+        // An agent that was evicted and registers again must wait for the settling time again: agents that joined in the
+        // meantime do not count it as an earlier owner until that time has passed.
         if (tenure !== undefined && tenure.registeredAtMs !== this.registered?.tenure.registeredAtMs) {
-            this.registered = { tenure, seen: ended };
+            this.registered = { tenure, firstSeenAt: completedAt };
         }
     }
 
@@ -72,41 +73,50 @@
     private checkIssued(use: KeyUse, wallMs: number): KeyStatus {
         const verified = verifyIssuedKey(this.secret, use.key);
         if (verified.isErr()) {
-            // Not `not-run`: the key may have been signed and used before the secret was replaced.
+            // Execution is `unknown` instead of `not-run`: the key may have been used before the secret was replaced.
             return refuseUnknown(verified.error.message);
         }
         const claims = verified.value;
         if (claims.clientAccount !== use.clientAccount || claims.service !== use.service) {
-            return refuseNotRun("The key was issued to another account or for another service.");
+            return refuseNotRun("The idempotency key was issued to another account or for another service.");
         }
         if (claims.agentId !== this.self.agentId) {
-            return { ...refuseUnknown("The key belongs to another agent."), homeAgentId: claims.agentId };
+            return {
+                ...refuseUnknown("The idempotency key was issued for another agent."),
+                homeAgentId: claims.agentId,
+            };
         }
         if (claims.incarnation !== this.self.incarnation) {
-            return refuseUnknown("The process that could tell whether the key was used is gone.");
+            return refuseUnknown(
+                "The process for which the idempotency key was issued has ended; whether the key was used is unknown.",
+            );
         }
-        const isLive = wallMs < claims.expiresAtMs;
+        const isUnexpired = wallMs < claims.expiresAtMs;
         const isWithinLifetime =
             claims.expiresAtMs <= wallMs + this.timing.issuedLifetimeMs + this.timing.maxClockSkewMs;
-        return isLive && isWithinLifetime ? { type: "new" } : refuseUnknown("The key has expired.");
+        return isUnexpired && isWithinLifetime
+            ? { type: "new" }
+            : refuseUnknown("The idempotency key has expired, or its expiry is too far ahead.");
     }
 
     private checkChosen(use: KeyUse, at: Instant, wallMs: number): KeyStatus {
         const confirmation = this.confirmation;
-        if (confirmation === undefined || !this.isYounger(confirmation.began, at, this.timing.leaseMs)) {
+        if (confirmation === undefined || !this.isYounger(confirmation.startedAt, at, this.timing.leaseMs)) {
             return refuseUnknown(
-                "The agent could not confirm lately that it is the home of the key.",
+                "The agent has not confirmed within its lease that it owns the idempotency key.",
                 this.timing.leaseMs,
             );
         }
         const own = this.getOwnTenure(confirmation.history);
         if (own === undefined) {
-            return refuseUnknown("The agent is not in the roster, or a later process has taken its place.");
+            return refuseUnknown(
+                "The agent is not in the roster, or a later process of the same agent has replaced it.",
+            );
         }
         const keyHash = hashKey(use);
-        const [home] = orderOwners(confirmation.history, use.service, keyHash);
-        if (home?.agentId !== this.self.agentId) {
-            return { ...refuseUnknown("Another agent is the home of the key."), homeAgentId: home?.agentId };
+        const [owner] = orderOwners(confirmation.history, use.service, keyHash);
+        if (owner?.agentId !== this.self.agentId) {
+            return { ...refuseUnknown("Another agent owns the idempotency key."), homeAgentId: owner?.agentId };
         }
         const keyTimeMs = readKeyTime(use.key);
         const isNew = !canHaveStartedBefore(
@@ -117,41 +127,49 @@
             this.timing,
         );
         if (!isNew) {
-            return refuseUnknown("The key may have been used before this agent became its home, or too long ago.");
+            return refuseUnknown(
+                "The idempotency key may have been used before this agent became its owner, or before the retention.",
+            );
         }
-        const settleLeftMs = this.getSettleLeftMs(confirmation.began);
-        return settleLeftMs > 0 ? this.refuseUnsettled(confirmation.began, at, settleLeftMs) : { type: "new" };
+        const settleRemainingMs = this.getSettleRemainingMs(confirmation.startedAt);
+        return settleRemainingMs > 0
+            ? this.refuseUnsettled(confirmation.startedAt, at, settleRemainingMs)
+            : { type: "new" };
     }
 
     /**
-     * A home that is settling is not counted as an earlier home, so whoever takes its place need not wait for its lease
-     * to lapse: only for its own settling time. Nothing was run as long as the last read is younger than that.
+     * An owner in its settling time is not counted as an earlier owner, so its successor waits only for the successor's
+     * own settling time and not for this owner's lease to expire. Therefore no other process can have started the request
+     * only while the last read here is younger than the settling time.
      */
-    private refuseUnsettled(began: Instant, at: Instant, settleLeftMs: number): KeyStatus {
-        const detail = "The agent has only just joined the roster.";
-        const isYoung = this.isYounger(began, at, this.timing.settleMs - this.timing.logSlackMs);
-        return isYoung ? refuseNotRun(detail, settleLeftMs) : refuseUnknown(detail, settleLeftMs);
+    private refuseUnsettled(readStartedAt: Instant, at: Instant, settleRemainingMs: number): KeyStatus {
+        const detail = "The agent registered in the roster recently and does not start caller-chosen keys yet.";
+        const isReadRecent = this.isYounger(readStartedAt, at, this.timing.settleMs - this.timing.logSlackMs);
+        return isReadRecent ? refuseNotRun(detail, settleRemainingMs) : refuseUnknown(detail, settleRemainingMs);
     }
 
     /**
-     * A holder that was stopped (SIGSTOP, a frozen VM) past its lease would otherwise start a key that its successor has
-     * started too. Both clocks are asked, as the monotonic one may stand still while a VM is frozen.
+     * Prevents an owner that was paused past its lease (SIGSTOP, a frozen VM) from starting a key that its successor has
+     * started too. Checks both clocks, as the monotonic clock may stop while a VM is frozen.
      */
-    private isYounger(began: Instant, at: Instant, limitMs: number): boolean {
-        const elapsedMs = at.nowMs - began.nowMs;
-        const wallElapsedMs = at.wallMs - began.wallMs;
+    private isYounger(startedAt: Instant, at: Instant, limitMs: number): boolean {
+        const elapsedMs = at.nowMs - startedAt.nowMs;
+        const wallElapsedMs = at.wallMs - startedAt.wallMs;
         return elapsedMs >= 0 && elapsedMs < limitMs && Math.abs(wallElapsedMs) < limitMs;
     }
 
-    /** Two agents that register within the settling time need not count each other as earlier homes; see takeover.ts. */
-    private getSettleLeftMs(confirmedAt: Instant): number {
-        const settledAtMs = (this.registered?.seen.nowMs ?? Infinity) + this.timing.settleMs;
-        return settledAtMs - confirmedAt.nowMs;
+    /**
+     * Remaining settling time at the start of the last read. Because of it, agents that register within the settling time
+     * of each other are not counted as each other's earlier owners; see takeover.ts.
+     */
+    private getSettleRemainingMs(readStartedAt: Instant): number {
+        const settledAtMs = (this.registered?.firstSeenAt.nowMs ?? Infinity) + this.timing.settleMs;
+        return settledAtMs - readStartedAt.nowMs;
     }
 
     private getOwnTenure(history: RosterHistory): Tenure | undefined {
-        const standing = findCurrentTenure(history, this.self.agentId);
-        return standing?.incarnation === this.self.incarnation ? standing : undefined;
+        const tenure = findCurrentTenure(history, this.self.agentId);
+        return tenure?.incarnation === this.self.incarnation ? tenure : undefined;
     }
 }
 
--- a/src/fleet/keys/keyTable.ts
+++ b/src/fleet/keys/keyTable.ts
@@ -3,40 +3,40 @@
 import { defaultKeyTiming, type Instant } from "./keyTiming.js";
 import { hashKey, type KeyUse } from "./keyUse.js";
 
-/** What a home does with a request that carries a key. */
+/** What the owner of a key does with a request that carries it. */
 export type KeyDecision =
-    /** Start it when its turn comes; ask {@link KeyTable.start} at the last moment before. */
+    /** Queue the request; {@link KeyTable.start} must be called immediately before it is sent to the target. */
     | { readonly type: "run"; readonly keyHash: string }
-    /** The same request waits or runs here; give this caller the answer of that one. */
+    /** The same request is waiting or running here; return its response to this caller as well. */
     | { readonly type: "join"; readonly keyHash: string; readonly requestId: string }
-    /** It ran; give this caller the answer that is kept under the reference. */
+    /** The request has completed; return the response that is stored under the reference. */
     | { readonly type: "replay"; readonly keyHash: string; readonly answerReference: string }
-    /** Its target takes nothing new; the request goes on under this issued key, and so does every repeat. */
+    /** The target accepts no new requests; this request and every repeat continue under this issued key. */
     | { readonly type: "delegate"; readonly keyHash: string; readonly delegateKey: string }
     | { readonly type: "refuse"; readonly refusal: Refusal; readonly homeAgentId?: string };
 
-/** How a run ended, as far as its key goes. */
+/** Outcome of a run, for the entry of its key. */
 export type KeyOutcome =
-    /** The whole answer is kept under the reference and takes so many bytes. */
+    /** The complete response is stored under the reference; `answerBytes` is its size. */
     | { readonly type: "completed"; readonly answerReference: string; readonly answerBytes: number }
-    /** The target surely never took it; the key is free again. */
+    /** The target certainly did not receive the request; the key may be used again. */
     | { readonly type: "not-run" }
-    /** The target may have run it, and no whole answer is here. */
+    /** The target may have executed the request, and no complete response was received. */
     | { readonly type: "unknown" };
 
-/** Bounds of a table. */
+/** Limits of a key table. */
 export interface KeyTableLimits {
     readonly maxEntries: number;
-    /** So that one account's flood of keys leaves room for the others. */
+    /** Keeps capacity for other accounts when one account sends a burst of keys. */
     readonly maxEntriesPerAccount: number;
-    /** Bytes of kept answers over all entries. */
+    /** Maximum total size of the stored responses of all entries. */
     readonly maxAnswerBytes: number;
     readonly retentionMs: number;
-    /** How long after a key was handed over the other home may still start it: the life of the issued key. */
+    /** How long the agent to which a key was delegated may still start it: the lifetime of the issued key. */
     readonly delegationMs: number;
 }
 
-/** What an agent uses: about 300 bytes an entry, so 6 MB of entries and 8 MB of answers at the most. */
+/** Limits that an agent uses: at about 300 bytes per entry, at most 6 MB of entries and 8 MB of responses. */
 export const defaultKeyTableLimits: KeyTableLimits = {
     maxEntries: 20_000,
     maxEntriesPerAccount: 5_000,
@@ -48,7 +48,7 @@
 type KeyState =
     | { readonly type: "waiting" }
     | { readonly type: "running" }
-    /** The reference is undefined once the answer's bytes had to go. */
+    /** The reference is undefined if the response did not fit within the limit of stored response bytes. */
     | { readonly type: "completed"; readonly answerReference: string | undefined; readonly answerBytes: number }
     | { readonly type: "delegated"; readonly delegateKey: string }
     | { readonly type: "unknown" };
@@ -57,55 +57,58 @@
     readonly keyHash: string;
     readonly use: KeyUse;
     readonly state: KeyState;
-    /** Monotonic; undefined while it waits or runs. */
+    /** Monotonic start of the retention; undefined while the request waits or runs. */
     readonly endedAtMs: number | undefined;
 }
 
 /**
- * The keys that one home has seen: one entry per (account, service, key). Nothing in here is stored; what a process
- * that is gone has seen is {@link KeyAuthority}'s matter.
+ * The keys of requests that one agent has received: one entry per (account, service, key). The table is in memory only;
+ * {@link KeyAuthority} checks whether a process that has ended may have used a key.
  */
 export class KeyTable {
     private readonly entries = new Map<string, KeyEntry>();
-    /** Hashes of ended entries in the order in which they were added, for {@link advance}; none goes early by it. */
+    /**
+     * Hashes of ended entries in insertion order, for {@link advance}. An entry may be removed later than its retention
+     * because of this order, but never earlier.
+     */
     private readonly ended = new Set<string>();
     private readonly entriesByAccount = new Map<string, number>();
-    private answerBytes = 0;
+    private storedResponseBytes = 0;
 
     public constructor(
         private readonly authority: KeyAuthority,
         private readonly limits: KeyTableLimits,
     ) {}
 
-    /** Number of entries. */
+    /** Number of entries in the table. */
     public get size(): number {
         return this.entries.size;
     }
 
     /**
-     * Resolves a request that has arrived; a decision to run reserves the key for it. With a `delegateKey`, an issued key
-     * that names another home, a key that was not seen is handed over to that home instead. The first one is kept: were each
-     * repeat handed on under a key of its own, two homes would run it.
+     * Decides what to do with a request that has arrived; a decision to run reserves the key for the request.
+     * `delegateKey` is an issued key that names another agent; if it is given, a new key is delegated to that agent.
+     * Repeats use the first delegate key: if each repeat were delegated under its own key, two agents could run the request.
      */
     public resolve(use: KeyUse, at: Instant, delegateKey?: string): KeyDecision {
         const keyHash = hashKey(use);
         const entry = this.entries.get(keyHash);
         if (entry !== undefined) {
-            return resolveSeen(entry, use);
+            return resolveRepeat(entry, use);
         }
-        const standing = this.authority.check(use, at);
-        if (standing.type === "refused") {
-            return { type: "refuse", refusal: standing.refusal, homeAgentId: standing.homeAgentId };
+        const status = this.authority.check(use, at);
+        if (status.type === "refused") {
+            return { type: "refuse", refusal: status.refusal, homeAgentId: status.homeAgentId };
         }
-        const refusal = this.findFullness(use.clientAccount);
+        const refusal = this.checkCapacity(use.clientAccount);
         if (refusal !== undefined) {
             return { type: "refuse", refusal };
         }
         this.addToAccount(use.clientAccount, 1);
         if (delegateKey !== undefined) {
             const state: KeyState = { type: "delegated", delegateKey };
-            // The retention runs from the last moment at which the other home may start it. Counted from now, a repeat that
-            // its caller sends within the retention of that start would find the key forgotten here, and run again.
+            // The retention begins at the last moment at which the other agent may start the request. If it began now, this
+            // entry could be removed before the retention of that start has passed, and a repeat would run again.
             const endedAtMs = at.nowMs + this.limits.delegationMs;
             this.entries.set(keyHash, { keyHash, use, state, endedAtMs });
             this.ended.add(keyHash);
@@ -116,26 +119,26 @@
     }
 
     /**
-     * Asked in the same turn of the event loop in which the request is given to the target. Undefined: start it.
-     * A refusal: do not; this request never started here, and the key is released.
-     * The request may have waited in the queue while the lease lapsed or the range of keys went to another agent, which
-     * may have started a repeat since; so the authority is asked again.
+     * Must be called in the same turn of the event loop in which the request is sent to the target.
+     * Undefined: the request may start. A refusal: it must not start; it has not run here, and the key is released.
+     * Checks the authority again because the lease may have expired or another agent may have become the key's owner while
+     * the request was queued, and that agent may have started a repeat.
      */
     public start(keyHash: string, at: Instant): Refusal | undefined {
         const entry = this.entries.get(keyHash);
         if (entry?.state.type !== "waiting") {
-            return createDuplicateRefusal("unknown", "The key is not waiting to start.");
+            return createDuplicateRefusal("unknown", "No request with this idempotency key is waiting to start.");
         }
-        const standing = this.authority.check(entry.use, at);
-        if (standing.type === "refused") {
+        const status = this.authority.check(entry.use, at);
+        if (status.type === "refused") {
             this.remove(entry);
-            return standing.refusal;
+            return status.refusal;
         }
         this.entries.set(keyHash, { ...entry, state: { type: "running" } });
         return undefined;
     }
 
-    /** Frees a key whose request was withdrawn, refused or cancelled before it started. Returns false if it had started. */
+    /** Releases a key whose request was withdrawn, refused or cancelled. Returns false if the request had started. */
     public release(keyHash: string): boolean {
         const entry = this.entries.get(keyHash);
         if (entry?.state.type !== "waiting") {
@@ -145,7 +148,7 @@
         return true;
     }
 
-    /** Takes in how a run ended. */
+    /** Records the outcome of a run. */
     public close(keyHash: string, outcome: KeyOutcome, nowMs: number): void {
         const entry = this.entries.get(keyHash);
         if (entry?.state.type !== "running") {
@@ -156,12 +159,12 @@
             return;
         }
         this.ended.add(keyHash);
-        this.entries.set(keyHash, { ...entry, state: this.createEndState(outcome), endedAtMs: nowMs });
+        this.entries.set(keyHash, { ...entry, state: this.createEndedState(outcome), endedAtMs: nowMs });
     }
 
     /**
-     * Forgets what ended longer ago than the retention, and returns the references of the answers that may go.
-     * Nothing younger is ever forgotten: dropped to make room, a key would run again on its repeat.
+     * Removes entries whose retention has passed, and returns the references of the responses that may be deleted.
+     * Entries are never removed earlier to free capacity: a repeat of a removed key would run again.
      */
     public advance(nowMs: number): readonly string[] {
         const references: string[] = [];
@@ -178,7 +181,7 @@
         return references;
     }
 
-    /** When {@link advance} is next of use; undefined when nothing has ended. */
+    /** When {@link advance} can next remove an entry; undefined if no entry has ended. */
     public nextTickAtMs(): number | undefined {
         for (const keyHash of this.ended) {
             const endedAtMs = this.entries.get(keyHash)?.endedAtMs;
@@ -187,25 +190,25 @@
         return undefined;
     }
 
-    private createEndState(outcome: Exclude<KeyOutcome, { readonly type: "not-run" }>): KeyState {
+    private createEndedState(outcome: Exclude<KeyOutcome, { readonly type: "not-run" }>): KeyState {
         if (outcome.type === "unknown") {
             return { type: "unknown" };
         }
-        if (this.answerBytes + outcome.answerBytes > this.limits.maxAnswerBytes) {
+        if (this.storedResponseBytes + outcome.answerBytes > this.limits.maxAnswerBytes) {
             return { type: "completed", answerReference: undefined, answerBytes: 0 };
         }
-        this.answerBytes += outcome.answerBytes;
+        this.storedResponseBytes += outcome.answerBytes;
         return outcome;
     }
 
-    private findFullness(clientAccount: string): Refusal | undefined {
+    private checkCapacity(clientAccount: string): Refusal | undefined {
         const retryAfterMs = this.limits.retentionMs;
         if ((this.entriesByAccount.get(clientAccount) ?? 0) >= this.limits.maxEntriesPerAccount) {
-            const detail = "The account has too many idempotency keys in use at this agent.";
+            const detail = "The account has reached its limit of idempotency keys at this agent.";
             return { reason: "account-queue-full", execution: "not-run", retryAfterMs, detail };
         }
         if (this.entries.size >= this.limits.maxEntries) {
-            const detail = "The agent's table of idempotency keys is full.";
+            const detail = "The agent has reached its limit of idempotency keys.";
             return { reason: "queue-full", execution: "not-run", retryAfterMs, detail };
         }
         return undefined;
@@ -216,27 +219,28 @@
         this.ended.delete(entry.keyHash);
         this.addToAccount(entry.use.clientAccount, -1);
         if (entry.state.type === "completed") {
-            this.answerBytes -= entry.state.answerBytes;
+            this.storedResponseBytes -= entry.state.answerBytes;
         }
     }
 
     private addToAccount(clientAccount: string, difference: number): void {
-        const left = (this.entriesByAccount.get(clientAccount) ?? 0) + difference;
-        if (left === 0) {
+        const entryCount = (this.entriesByAccount.get(clientAccount) ?? 0) + difference;
+        if (entryCount === 0) {
             this.entriesByAccount.delete(clientAccount);
         } else {
-            this.entriesByAccount.set(clientAccount, left);
+            this.entriesByAccount.set(clientAccount, entryCount);
         }
     }
 }
 
-function resolveSeen(entry: KeyEntry, use: KeyUse): KeyDecision {
+function resolveRepeat(entry: KeyEntry, use: KeyUse): KeyDecision {
     const { keyHash, state } = entry;
     if (entry.use.requestDigest !== use.requestDigest) {
-        // `unknown`, though this body did not run: a caller that reads `not-run` sends it again, and the key did run.
+        // Execution is `unknown`, although this body did not run: on `not-run` a caller would send the request again, and a
+        // request with this key may have run already.
         const refusal = createDuplicateRefusal(
             "unknown",
-            "The key was used with another request; this one did not run.",
+            "The idempotency key was used with another request; this request did not run.",
         );
         return { type: "refuse", refusal };
     }
@@ -250,7 +254,10 @@
             return { type: "refuse", refusal: createUnknownRefusal() };
         case "completed":
             return state.answerReference === undefined
-                ? { type: "refuse", refusal: createDuplicateRefusal("ran", "It ran; its answer is no longer kept.") }
+                ? {
+                      type: "refuse",
+                      refusal: createDuplicateRefusal("ran", "The request ran; its response was not stored."),
+                  }
                 : { type: "replay", keyHash, answerReference: state.answerReference };
     }
 }
@@ -260,6 +267,6 @@
 }
 
 function createUnknownRefusal(): Refusal {
-    const detail = "The request was given to the target, and how that ended is not known.";
+    const detail = "The request was sent to the target, and whether it was executed is unknown.";
     return { reason: "key-unknown", execution: "unknown", retryAfterMs: undefined, detail };
 }
--- a/src/fleet/keys/keyTiming.ts
+++ b/src/fleet/keys/keyTiming.ts
@@ -1,20 +1,23 @@
-/** The durations on which at-most-once rests; milliseconds. docs/design/at-most-once.md gives the reasons. */
+/** Durations in milliseconds on which at-most-once execution depends; docs/design/at-most-once.md gives the reasons. */
 export interface KeyTiming {
-    /** How long a home is the authority after a read of the log that still showed it as the home. */
+    /** How long an owner may start requests, from the start of the last log read that confirmed its ownership. */
     readonly leaseMs: number;
-    /** Furthest apart that the wall clocks of callers, VMs and the platform may be. */
+    /** Maximum difference between any two wall clocks of callers, VMs and the platform. */
     readonly maxClockSkewMs: number;
-    /** How long a key is remembered after its run ended, and within which a caller may repeat it. */
+    /** How long a table keeps a key after its run ended; a caller may repeat the request within this time. */
     readonly retentionMs: number;
-    /** How long after its registration a home starts no caller-chosen key, so that a whole fleet can start at once. */
+    /**
+     * How long after its registration an agent starts no caller-chosen key. Because of this wait, agents of a fleet that
+     * starts all at once need not be counted as each other's earlier owners.
+     */
     readonly settleMs: number;
-    /** How far the dates of two records in one stream may be out of step with real time. */
+    /** Maximum error of the difference between the dates of two records in one stream, compared with real time. */
     readonly logSlackMs: number;
-    /** Longest life of an issued key; shorter than the retention. */
+    /** Maximum lifetime of an issued key; shorter than the retention. */
     readonly issuedLifetimeMs: number;
 }
 
-/** What the daemons use. */
+/** Durations that the daemons use. */
 export const defaultKeyTiming: KeyTiming = {
     leaseMs: 10_000,
     maxClockSkewMs: 30_000,
@@ -24,10 +27,10 @@
     issuedLifetimeMs: 300_000,
 };
 
-/** One instant on both scales of a process. */
+/** One instant on both clocks of a process. */
 export interface Instant {
-    /** Monotonic; for durations. */
+    /** Monotonic clock in milliseconds; for durations. */
     readonly nowMs: number;
-    /** Milliseconds since 1970; for comparison with dates that came from elsewhere. */
+    /** Wall clock in milliseconds since 1970; for comparison with dates from other processes. */
     readonly wallMs: number;
 }
--- a/src/fleet/keys/rosterHistory.ts
+++ b/src/fleet/keys/rosterHistory.ts
@@ -1,23 +1,26 @@
 import { orderByRendezvous } from "../../base/hash.js";
 
-/** The time for which one incarnation of an agent stood in the roster; by the log's dates. */
+/** The period for which one incarnation of an agent was in the roster, according to the dates in the log. */
 export interface Tenure {
     readonly agentId: string;
     readonly incarnation: number;
     readonly services: readonly string[];
     readonly registeredAtMs: number;
-    /** Undefined while it stands. */
+    /** Undefined while the incarnation is in the roster. */
     readonly endedAtMs: number | undefined;
 }
 
-/** Who has stood in the roster, and who stands there. */
+/** Current and former members of the roster. */
 export interface RosterHistory {
     readonly tenures: readonly Tenure[];
-    /** Every tenure that ended later than this is known; undefined when the stream was read from its first record. */
+    /**
+     * Every tenure that ended after this date is included, in milliseconds since 1970; undefined if the stream was read
+     * from its first record, so that all tenures are included.
+     */
     readonly completeSinceMs: number | undefined;
 }
 
-/** Standing agents that serve the service, by their rank for the key: the first is its home. */
+/** Agents in the roster that serve the service, in rendezvous order for the key; the first one owns the key. */
 export function orderOwners(history: RosterHistory, service: string, keyHash: string): readonly Tenure[] {
     const serving = history.tenures.filter(
         tenure => tenure.endedAtMs === undefined && tenure.services.includes(service),
@@ -25,7 +28,7 @@
     return orderByRendezvous(keyHash, serving, tenure => tenure.agentId);
 }
 
-/** The standing tenure of an agent. */
+/** Finds the tenure of the agent's incarnation that is in the roster now. */
 export function findCurrentTenure(history: RosterHistory, agentId: string): Tenure | undefined {
     return history.tenures.find(tenure => tenure.agentId === agentId && tenure.endedAtMs === undefined);
 }
--- a/src/fleet/keys/steadyWallClock.ts
+++ b/src/fleet/keys/steadyWallClock.ts
@@ -1,17 +1,19 @@
 import type { Instant } from "./keyTiming.js";
 
 /**
- * Wall-clock time that never falls and never runs slower than the monotonic clock.
- * An administrator or NTP may set a clock back. Without this, a key that had expired would be fresh again after its
- * table entry was dropped, and would run twice. Running ahead is harmless: keys only look older, which is `unknown`.
+ * Wall clock that never goes back and never advances more slowly than the monotonic clock.
+ * An administrator or NTP may set the system clock back. An expired key whose table entry was removed would then be
+ * valid again, and its request would run twice. A clock that is ahead is harmless: keys appear older than they are and
+ * are refused with execution `unknown`.
  */
 export class SteadyWallClock {
     private last: Instant | undefined;
 
-    /** The steady reading at an instant. */
+    /** Returns the corrected wall-clock time at an instant, in milliseconds since 1970. */
     public read(at: Instant): number {
-        const floor = this.last === undefined ? at.wallMs : this.last.wallMs + Math.max(0, at.nowMs - this.last.nowMs);
-        this.last = { nowMs: at.nowMs, wallMs: Math.max(at.wallMs, floor) };
+        const minWallMs =
+            this.last === undefined ? at.wallMs : this.last.wallMs + Math.max(0, at.nowMs - this.last.nowMs);
+        this.last = { nowMs: at.nowMs, wallMs: Math.max(at.wallMs, minWallMs) };
         return this.last.wallMs;
     }
 }
