--- a/test/fleet/keys.property.test.ts
+++ b/test/fleet/keys.property.test.ts
@@ -27,27 +27,33 @@
     .map(([kind, via]) => createCommand(`new ${kind} key from ${via}`, world => world.createKey(kind, via)));
 const closeNext = fc
     .tuple(processIndex, fc.boolean())
-    .map(([index, isWhole]) =>
-        createCommand(`end at ${index}, whole ${isWhole}`, world => world.closeNext(index, isWhole)),
+    .map(([index, isComplete]) =>
+        createCommand(`end run at ${index}, complete ${isComplete}`, world => world.closeNext(index, isComplete)),
     );
 const startAgent = fc
     .tuple(agent, fc.nat(3))
-    .map(([name, luck]) =>
-        createCommand(`start agent ${name}, late ${luck === 0}`, world => world.startAgent(name, luck === 0)),
+    .map(([name, chance]) =>
+        createCommand(`start agent ${name}, registration delayed ${chance === 0}`, world =>
+            world.startAgent(name, chance === 0),
+        ),
     );
 const setPaused = fc
     .tuple(processIndex, fc.boolean())
     .map(([index, isPaused]) => createCommand(`pause ${index} ${isPaused}`, world => world.setPaused(index, isPaused)));
-const setOut = fc
+const setDataCentreOut = fc
     .tuple(processIndex, fc.boolean())
-    .map(([index, isOut]) => createCommand(`${index} out ${isOut}`, world => world.setDataCentreOut(index, isOut)));
+    .map(([index, isOut]) =>
+        createCommand(`data centre of ${index} out ${isOut}`, world => world.setDataCentreOut(index, isOut)),
+    );
 const startNext = fc
     .tuple(processIndex, fc.integer({ min: 0, max: 9 }))
-    .map(([index, luck]) => createCommand(`start at ${index} (${luck})`, world => world.startNext(index, luck > 0)));
-const kindsOfCommand: readonly { readonly weight: number; readonly arbitrary: fc.Arbitrary<KeyCommand> }[] = [
+    .map(([index, chance]) =>
+        createCommand(`start at ${index}, accepted ${chance > 0}`, world => world.startNext(index, chance > 0)),
+    );
+const weightedCommands: readonly { readonly weight: number; readonly arbitrary: fc.Arbitrary<KeyCommand> }[] = [
     { weight: 8, arbitrary: sendKey },
-    { weight: 5, arbitrary: fc.constant(createCommand("all start what waits", world => world.startAll())) },
-    { weight: 2, arbitrary: setOut },
+    { weight: 5, arbitrary: fc.constant(createCommand("all start their waiting requests", world => world.startAll())) },
+    { weight: 2, arbitrary: setDataCentreOut },
     { weight: 2, arbitrary: startNext },
     { weight: 2, arbitrary: closeNext },
     {
@@ -65,13 +71,16 @@
     {
         weight: 1,
         arbitrary: agent.map(name =>
-            createCommand(`agent ${name} leaves the roster`, world => world.removeFromRoster(name)),
+            createCommand(`agent ${name} is removed from the roster`, world => world.removeFromRoster(name)),
         ),
     },
-    { weight: 1, arbitrary: fc.constant(createCommand("late appends land", world => world.appendDelayedRecords())) },
     {
         weight: 1,
-        arbitrary: fc.nat(3).map(luck => createCommand(`log up ${luck > 0}`, world => world.setLog(luck > 0))),
+        arbitrary: fc.constant(createCommand("delayed appends reach the log", world => world.appendDelayedRecords())),
+    },
+    {
+        weight: 1,
+        arbitrary: fc.nat(3).map(chance => createCommand(`log up ${chance > 0}`, world => world.setLog(chance > 0))),
     },
     { weight: 2, arbitrary: setPaused },
     {
@@ -83,7 +92,7 @@
         arbitrary: fc
             .tuple(processIndex, fc.boolean())
             .map(([index, hasWaited]) =>
-                createCommand(`take read ${index}, waited ${hasWaited}`, world => world.applyRead(index, hasWaited)),
+                createCommand(`apply read ${index}, waited ${hasWaited}`, world => world.applyRead(index, hasWaited)),
             ),
     },
     { weight: 6, arbitrary: fc.constant(createCommand("all read the log", world => world.readAll())) },
@@ -93,10 +102,10 @@
     },
     { weight: 4, arbitrary: advanceMs.map(ms => createCommand(`${ms} ms pass`, world => world.advance(ms))) },
 ];
-const commands = kindsOfCommand.flatMap(({ weight, arbitrary }) => Array.from({ length: weight }, () => arbitrary));
+const commands = weightedCommands.flatMap(({ weight, arbitrary }) => Array.from({ length: weight }, () => arbitrary));
 
-/** Where a sequence begins: the moments at which one safeguard or another is all that prevents a second run. */
-const situations: Record<string, (world: KeyWorld) => void> = {
+/** Initial states of the command sequences; in each of them a single safeguard prevents a second run. */
+const initialStates: Record<string, (world: KeyWorld) => void> = {
     "a settled fleet": world => {
         startSettled(world, [0, 1]);
         createKeys(world);
@@ -117,7 +126,7 @@
         [0, 1, 2].forEach(via => world.updateRouter(via));
         createKeys(world);
     },
-    "an agent joins, and only some have seen it": world => {
+    "an agent has joined, and only some routers have read the roster since": world => {
         startSettled(world, [0]);
         createKeys(world);
         world.readAll();
@@ -131,7 +140,7 @@
         world.advance(9_000);
         world.readAll();
     },
-    // Found by this property: the settling time ran from the first registration only.
+    // Guards against a settling time that is counted from the first registration only.
     "an agent that was evicted has registered again": world => {
         startSettled(world, [0]);
         world.removeFromRoster(0);
@@ -147,8 +156,9 @@
         world.readAll();
         world.updateRouter(0);
     },
-    // Found by this property: a settling home said not-run on a read older than another's settling time.
-    "a home that is settling is paused while another joins": world => {
+    // Guards against an owner in its settling time that reports not-run although its last read is older than the settling
+    // time of another agent.
+    "an owner is paused during its settling time while another agent joins": world => {
         world.startAgent(0, false);
         world.readAll();
         [0, 1, 2].forEach(via => world.updateRouter(via));
@@ -161,7 +171,7 @@
         world.readAll();
         world.updateRouter(1);
     },
-    "the earlier home held its lease when another joined, a retention ago": world => {
+    "the earlier owner held its lease when another agent joined, one retention ago": world => {
         startSettled(world, [0]);
         world.startAgent(1, false);
         world.advance(9_000);
@@ -172,7 +182,7 @@
         world.readAll();
         world.updateRouter(1);
     },
-    "a home that was out handed its keys over, a retention ago": world => {
+    "an owner in a data centre that was out delegated its keys, one retention ago": world => {
         startSettled(world, [0, 1]);
         createKeys(world);
         world.setDataCentreOut(1, true);
@@ -183,7 +193,7 @@
         world.setDataCentreOut(1, false);
         world.readAll();
     },
-    "a router has an old view for long": world => {
+    "a router has had an outdated roster for a long time": world => {
         startSettled(world, [0]);
         world.startAgent(1, false);
         world.updateRouter(0);
@@ -192,7 +202,7 @@
         world.readAll();
         createKeys(world);
     },
-    "requests have waited since their home lost its place": world => {
+    "requests have waited since their owner was removed from the roster": world => {
         startSettled(world, [0, 1]);
         createKeys(world);
         sendKeys(world, 0, false);
@@ -216,7 +226,7 @@
     [0, 1, 2].forEach(key => world.sendKey(key, via, isStale));
 }
 
-/** With several keys, each agent is the home of one, and some callers' clocks are ahead. */
+/** Creates enough keys that each agent owns at least one and some are dated by callers whose clocks are ahead. */
 function createDatedKeys(world: KeyWorld): void {
     for (let count = 0; count < 6; count++) {
         world.createKey("dated", 0);
@@ -228,19 +238,19 @@
 }
 
 describe("idempotency keys", () => {
-    // A family's pickup is confirmed twice, or a caller reads "not run" and sends again what did run.
-    // A key's request is repeated through routers with old views while homes restart, are paused past their lease,
-    // leave and join, and the log is down; an earlier home, or the same one, has started it already.
-    // The target counts its runs by key, and throws at the second one.
-    it("run at most once, and not-run is never said of one that ran", () => {
+    // Guards against a request that runs twice, and against a refusal with execution `not-run` for a request that ran, which
+    // its caller would send again. Requests are repeated through routers with outdated rosters while owners restart, are
+    // paused past their lease, leave and join, and while the log is down, after the same or an earlier owner has started them.
+    // The simulated target counts runs by key, and throws on the second one.
+    it("run at most once, and are never reported as not-run after they ran", () => {
         const totals: Record<string, number> = {};
         fc.assert(
             fc.property(
-                fc.constantFrom(...Object.keys(situations)),
+                fc.constantFrom(...Object.keys(initialStates)),
                 fc.commands(commands, { maxCommands: 120, size: "max" }),
-                (situation, run) => {
+                (stateName, run) => {
                     const world = new KeyWorld();
-                    situations[situation](world);
+                    initialStates[stateName](world);
                     fc.modelRun(() => ({ model: {}, real: world }), run);
                     for (const [name, count] of Object.entries(world.counts)) {
                         totals[name] = (totals[name] ?? 0) + count;
@@ -249,7 +259,7 @@
             ),
             { seed: Number(process.env["LYNXARCH_SEED"] ?? 5), numRuns: Number(process.env["LYNXARCH_RUNS"] ?? 3_000) },
         );
-        // Each decision was met for each kind of key, so that the property does not hold for want of trying.
+        // Each decision must have occurred for each kind of key; otherwise the property could hold without testing it.
         const names = ["run", "join", "replay", "delegate", "refuse", "started", "not-run", "unknown", "withdrawn"];
         const missing = ["undated", "dated", "issued"]
             .flatMap(kind => names.map(name => `${kind} ${name}`))
--- a/test/fleet/keys.test.ts
+++ b/test/fleet/keys.test.ts
@@ -16,7 +16,7 @@
 };
 
 describe("issued keys", () => {
-    it("are read back only as they were signed", () => {
+    it("are accepted only with an unchanged payload and a valid signature", () => {
         const key = signIssuedKey("secret", claims);
         const [, payload, mac] = key.split(".");
         const forged = Buffer.from(JSON.stringify({ ...claims, clientAccount: "department" })).toString("base64url");
@@ -49,7 +49,7 @@
 });
 
 describe("KeyTable", () => {
-    const always: KeyAuthority = { check: () => ({ type: "new" }) };
+    const permissiveAuthority: KeyAuthority = { check: () => ({ type: "new" }) };
     const use = (key: string, clientAccount = "club", requestDigest = "body"): KeyUse => ({
         clientAccount,
         service: "registration",
@@ -58,9 +58,9 @@
         requestId: `request for ${key}`,
     });
 
-    // One account floods the home with new keys: the others' keys are still taken, and when the table is full, new keys
-    // are turned away until old ones have passed their retention. No young key makes room, as its repeat would run again.
-    it("turns new keys away when full and never forgets a young one", () => {
+    // One account sends a burst of new keys. Keys of other accounts must still be accepted, and a full table must refuse new
+    // keys until the retention of an old one has passed. A key removed earlier would run again when its request is repeated.
+    it("refuses new keys when full and removes none before its retention has passed", () => {
         const limits = {
             maxEntries: 4,
             maxEntriesPerAccount: 3,
@@ -68,17 +68,18 @@
             retentionMs: 1_000,
             delegationMs: 500,
         };
-        const table = new KeyTable(always, limits);
-        const seen: string[] = [];
+        const table = new KeyTable(permissiveAuthority, limits);
+        const log: string[] = [];
         const send = (key: string, nowMs: number, account?: string, digest?: string): void => {
             const decision = table.resolve(use(key, account, digest), { nowMs, wallMs: nowMs });
             if (decision.type === "run") {
                 table.start(decision.keyHash, { nowMs, wallMs: nowMs });
-                const answer = { type: "completed", answerReference: `answer to ${key}`, answerBytes: 60 } as const;
-                table.close(decision.keyHash, answer, nowMs);
+                const outcome = { type: "completed", answerReference: `response to ${key}`, answerBytes: 60 } as const;
+                table.close(decision.keyHash, outcome, nowMs);
             }
-            const why = decision.type === "refuse" ? ` ${decision.refusal.reason} ${decision.refusal.execution}` : "";
-            seen.push(`${nowMs} ${key}: ${decision.type}${why}`);
+            const reason =
+                decision.type === "refuse" ? ` ${decision.refusal.reason} ${decision.refusal.execution}` : "";
+            log.push(`${nowMs} ${key}: ${decision.type}${reason}`);
         };
         ["a", "b", "c", "d"].forEach((key, index) => send(key, index * 100));
         ["e", "f"].forEach(key => send(key, 400, "department"));
@@ -87,9 +88,9 @@
         send("a", 500, "club", "another body");
         expect(table.advance(999)).toEqual([]);
         expect(table.nextTickAtMs()).toBe(1_000);
-        expect(table.advance(1_050)).toEqual(["answer to a"]);
+        expect(table.advance(1_050)).toEqual(["response to a"]);
         send("d", 1_050);
-        expect(seen).toMatchInlineSnapshot(`
+        expect(log).toMatchInlineSnapshot(`
           [
             "0 a: run",
             "100 b: run",
@@ -107,12 +108,12 @@
 });
 
 describe("takeover", () => {
-    // A caller whose clock is 28 s ahead makes a key 9 s after a takeover. The earlier home, within its lease, starts it;
-    // the new home takes it for one that was made after the takeover, and starts it again.
-    it("takes a dated key for new only beyond the earlier home's lease and the clock bound", () => {
+    // A caller whose clock is 28 s ahead creates a key 9 s after a takeover, and the earlier owner starts it within its lease.
+    // The new owner must not treat the key as created after the takeover, as it would start it again.
+    it("treats a dated key as new only after the earlier owner's lease plus the maximum clock skew", () => {
         const takeoverMs = 1_800_000_000_000;
         const services = ["registration"];
-        const before = {
+        const earlierTenure = {
             agentId: "agent-1",
             incarnation: 1,
             services,
@@ -120,7 +121,7 @@
             endedAtMs: takeoverMs,
         };
         const own = { agentId: "agent-1", incarnation: 2, services, registeredAtMs: takeoverMs, endedAtMs: undefined };
-        const history = { tenures: [before, own], completeSinceMs: undefined };
+        const history = { tenures: [earlierTenure, own], completeSinceMs: undefined };
         const check = (keyTimeMs: number): boolean =>
             canHaveStartedBefore(
                 history,
--- a/test/fleet/keysWorld.ts
+++ b/test/fleet/keysWorld.ts
@@ -14,7 +14,7 @@
 const service = "registration";
 const clientAccount = "club";
 const timing = defaultKeyTiming;
-/** Wall clocks of agents and of callers, against the log's; any two lie within the clock bound. */
+/** Offsets of agents' and callers' wall clocks from the log's clock; any two differ by at most the maximum clock skew. */
 const agentSkewsMs = [0, 1_000, -1_000];
 const callerSkewsMs = [0, 28_000, -28_000, 28_000];
 
@@ -29,7 +29,7 @@
 
 interface Read {
     readonly history: RosterHistory;
-    readonly began: Instant;
+    readonly startedAt: Instant;
 }
 
 interface Process {
@@ -42,37 +42,44 @@
     readonly running: string[];
     readonly inbox: (() => void)[];
     isPaused: boolean;
-    /** Its data centre is out: it starts nothing new, and hands new keys over. */
-    isOut: boolean;
+    /** The data centre is out: the agent starts no new requests and delegates new keys. */
+    isDataCentreOut: boolean;
     read: Read | undefined;
 }
 
-/** Three agents, three routers, one stream of the log, and a target that counts; every breach is thrown at once. */
+/** Simulated agents, three routers, one log stream, and a target that counts runs; throws on each violated guarantee. */
 export class KeyWorld {
     public readonly counts: Record<string, number> = {};
     private readonly random = new SeededRandom(2);
     private readonly keys: Key[] = [];
     private readonly processes: Process[] = [];
     private readonly routers: { agents: readonly RosterAgent[] }[] = [{ agents: [] }, { agents: [] }, { agents: [] }];
-    private readonly notRun = new Set<string>();
+    private readonly notRunRequestIds = new Set<string>();
     private readonly roster = new RosterState(computeRosterTimes(3_600_000));
-    private readonly inFlight: (RegisterRecord | LeaveRecord)[] = [];
+    private readonly pendingAppends: (RegisterRecord | LeaveRecord)[] = [];
     private isLogUp = true;
-    private realMs = 1_800_000_000_000;
+    private currentMs = 1_800_000_000_000;
     private lastRequest = 0;
     private lastDelegate = 0;
     private lastIncarnation = 0;
 
-    public startAgent(agent: number, isLate: boolean): void {
+    public startAgent(agent: number, isDelayed: boolean): void {
         const incarnation = ++this.lastIncarnation;
         const agentId = `agent-${agent}`;
         const authority = new KeyOwnerAuthority({ agentId, incarnation }, secret, timing);
         const table = new KeyTable(authority, defaultKeyTableLimits);
         const skewMs = agentSkewsMs[incarnation % agentSkewsMs.length];
-        const parts = { waiting: [], running: [], inbox: [], isPaused: false, isOut: false, read: undefined };
-        this.processes.push({ agentId, incarnation, skewMs, authority, table, ...parts });
-        this.inFlight.push(this.createRegistration(agentId, incarnation));
-        if (!isLate) {
+        const initialState = {
+            waiting: [],
+            running: [],
+            inbox: [],
+            isPaused: false,
+            isDataCentreOut: false,
+            read: undefined,
+        };
+        this.processes.push({ agentId, incarnation, skewMs, authority, table, ...initialState });
+        this.pendingAppends.push(this.createRegistration(agentId, incarnation));
+        if (!isDelayed) {
             this.appendDelayedRecords();
         }
     }
@@ -89,7 +96,7 @@
         if (member !== undefined) {
             const { entry, registration } = member;
             const { incarnation } = entry;
-            this.inFlight.push({
+            this.pendingAppends.push({
                 type: "leave",
                 id: "",
                 daemonId,
@@ -102,14 +109,14 @@
         }
     }
 
-    /** Appends reach the log now, or when it is up again. */
+    /** Appends pending records to the log, if the log is up. */
     public appendDelayedRecords(): void {
         if (this.isLogUp) {
-            for (const record of this.inFlight.splice(0)) {
+            for (const record of this.pendingAppends.splice(0)) {
                 const offset = this.roster.nextOffset;
                 this.roster.applyPage({
                     firstOffset: 0,
-                    records: [{ offset, appendedAtMs: this.realMs, value: record }],
+                    records: [{ offset, appendedAtMs: this.currentMs, value: record }],
                 });
             }
         }
@@ -133,28 +140,28 @@
     public setDataCentreOut(index: number, isOut: boolean): void {
         const process = this.processes[index % this.processes.length];
         if (process !== undefined) {
-            process.isOut = isOut;
+            process.isDataCentreOut = isOut;
         }
     }
 
     public startRead(index: number): void {
         const process = this.processes[index % this.processes.length];
         if (process !== undefined && !process.isPaused && this.isLogUp) {
-            process.read = { history: createKeyHistory(this.roster), began: this.getInstant(process) };
+            process.read = { history: createKeyHistory(this.roster), startedAt: this.getInstant(process) };
         }
     }
 
-    /** A read that waited for news shows what was appended after it began. */
+    /** Applies a pending read; a read that waited for new records also contains those appended after it began. */
     public applyRead(index: number, hasWaited: boolean): void {
         const process = this.processes[index % this.processes.length];
         if (process?.read !== undefined && !process.isPaused) {
             const history = hasWaited && this.isLogUp ? createKeyHistory(this.roster) : process.read.history;
-            process.authority.update(history, process.read.began, this.getInstant(process));
+            process.authority.update(history, process.read.startedAt, this.getInstant(process));
             process.read = undefined;
         }
     }
 
-    /** What a healthy moment does: everyone that runs reads the log. */
+    /** All processes that are not paused read the log to its end. */
     public readAll(): void {
         this.appendDelayedRecords();
         this.processes.forEach((...[, index]) => {
@@ -176,26 +183,26 @@
         }
     }
 
-    /** A caller sends the request of one of the newest keys; `isStale` takes the oldest process that still listens for the agent. */
+    /** A caller sends the request of a recent key; with `isStale` it reaches the agent's oldest process that still runs. */
     public sendKey(index: number, router: number, isStale: boolean): void {
         const key = this.keys[this.keys.length - 1 - index];
-        // The promise to callers of undated keys ends with the retention; dated and issued keys say their own age.
-        const isPromised =
-            key?.kind !== "undated" || this.realMs <= (key.startedAtMs ?? this.realMs) + timing.retentionMs;
-        if (key === undefined || !isPromised) {
+        // The guarantee for undated keys ends with the retention; dated and issued keys contain a date of their own.
+        const isGuaranteed =
+            key?.kind !== "undated" || this.currentMs <= (key.startedAtMs ?? this.currentMs) + timing.retentionMs;
+        if (key === undefined || !isGuaranteed) {
             return;
         }
         const requestId = `request-${++this.lastRequest}`;
         const use: KeyUse = { clientAccount, service, key: key.text, requestDigest: "same", requestId };
-        const home = findKeyOwner(use, this.routers[router].agents, secret);
-        home.match(
+        const owner = findKeyOwner(use, this.routers[router].agents, secret);
+        owner.match(
             ({ agentId }) => this.send(key, use, agentId, isStale, true),
             refusal => this.observeRefusal(key, requestId, refusal.execution),
         );
     }
 
-    /** The agent gives its oldest waiting request to the target; `isTaken` false: the target refused the connection. */
-    public startNext(index: number, isTaken: boolean): void {
+    /** The agent sends its oldest waiting request to the target; if `isAccepted` is false, the target refuses the connection. */
+    public startNext(index: number, isAccepted: boolean): void {
         const process = this.processes[index % this.processes.length];
         const next = process === undefined || process.isPaused ? undefined : process.waiting.shift();
         if (next === undefined) {
@@ -204,7 +211,7 @@
         const refusal = process.table.start(next.keyHash, this.getInstant(process));
         if (refusal !== undefined) {
             this.observeRefusal(next.key, next.requestId, refusal.execution);
-        } else if (isTaken) {
+        } else if (isAccepted) {
             process.running.push(next.keyHash);
             this.observeRun(next.key, next.requestId);
         } else {
@@ -213,7 +220,7 @@
         }
     }
 
-    /** Every process that is not paused starts all it holds. */
+    /** Every process that is not paused starts all its waiting requests. */
     public startAll(): void {
         this.processes.forEach((process, index) => {
             while (!process.isPaused && process.waiting.length > 0) {
@@ -222,12 +229,16 @@
         });
     }
 
-    public closeNext(index: number, isAnswerWhole: boolean): void {
+    public closeNext(index: number, isResponseComplete: boolean): void {
         const process = this.processes[index % this.processes.length];
         const keyHash = process === undefined || process.isPaused ? undefined : process.running.shift();
         if (keyHash !== undefined) {
-            const whole = { type: "completed", answerReference: keyHash, answerBytes: 10 } as const;
-            process.table.close(keyHash, isAnswerWhole ? whole : { type: "unknown" }, this.getInstant(process).nowMs);
+            const completed = { type: "completed", answerReference: keyHash, answerBytes: 10 } as const;
+            process.table.close(
+                keyHash,
+                isResponseComplete ? completed : { type: "unknown" },
+                this.getInstant(process).nowMs,
+            );
         }
     }
 
@@ -240,17 +251,17 @@
     }
 
     public advance(ms: number): void {
-        this.realMs += ms;
+        this.currentMs += ms;
         for (const process of this.processes.filter(candidate => !candidate.isPaused)) {
             process.table.advance(this.getInstant(process).nowMs);
-            this.inFlight.push(this.createRegistration(process.agentId, process.incarnation));
+            this.pendingAppends.push(this.createRegistration(process.agentId, process.incarnation));
         }
     }
 
-    /** Also what a running process sends from time to time, whether it still stands in the roster or was taken out. */
+    /** Running processes append this record periodically, whether or not they are in the roster. */
     private createRegistration(daemonId: string, incarnation: number): RegisterRecord {
-        const where = { address: "", dataCentre: "", vmId: "" };
-        const entry = { daemonId, role: "agent", incarnation, ...where, services: [service] } as const;
+        const location = { address: "", dataCentre: "", vmId: "" };
+        const entry = { daemonId, role: "agent", incarnation, ...location, services: [service] } as const;
         return {
             type: "register",
             id: "",
@@ -263,15 +274,15 @@
         const skewMs = callerSkewsMs[this.keys.length % callerSkewsMs.length];
         if (kind === "dated") {
             const random = Uint8Array.from({ length: 16 }, () => Math.floor(this.random.next() * 256));
-            return v7({ msecs: this.realMs + skewMs, random, seq: this.keys.length });
+            return v7({ msecs: this.currentMs + skewMs, random, seq: this.keys.length });
         }
         const agent = this.routers[router].agents[this.keys.length % Math.max(1, this.routers[router].agents.length)];
         return agent && this.signKey(agent.daemonId, agent.incarnation, `${this.keys.length}`, skewMs);
     }
 
     private send(key: Key, use: KeyUse, agentId: string, isStale: boolean, mayRedirect: boolean): void {
-        const listening = this.processes.filter(process => process.agentId === agentId);
-        const process = isStale ? listening[0] : listening.at(-1);
+        const agentProcesses = this.processes.filter(process => process.agentId === agentId);
+        const process = isStale ? agentProcesses[0] : agentProcesses.at(-1);
         if (process === undefined) {
             this.observeRefusal(key, use.requestId, "unknown");
         } else if (process.isPaused) {
@@ -282,7 +293,7 @@
     }
 
     private receive(process: Process, key: Key, use: KeyUse, mayRedirect: boolean): void {
-        const delegateKey = process.isOut ? this.createDelegateKey(process) : undefined;
+        const delegateKey = process.isDataCentreOut ? this.createDelegateKey(process) : undefined;
         const decision = process.table.resolve(use, this.getInstant(process), delegateKey);
         this.count(`${key.kind} ${decision.type}`);
         this.observeDecision(process, key, use, decision, mayRedirect);
@@ -313,7 +324,7 @@
         }
     }
 
-    /** Each request's router names another home, with a key of its own. */
+    /** Each request's router delegates to another agent, with a separate issued key for each request. */
     private createDelegateKey(process: Process): string | undefined {
         const others = this.processes.filter(other => other.agentId !== process.agentId);
         const other = others[this.lastRequest % Math.max(1, others.length)];
@@ -321,34 +332,34 @@
     }
 
     private signKey(agentId: string, incarnation: number, nonce: string, skewMs: number): string {
-        const expiresAtMs = this.realMs + skewMs + timing.issuedLifetimeMs;
+        const expiresAtMs = this.currentMs + skewMs + timing.issuedLifetimeMs;
         return signIssuedKey(secret, { agentId, incarnation, service, clientAccount, expiresAtMs, nonce });
     }
 
     private observeRun(key: Key, requestId: string): void {
         key.runs++;
-        key.startedAtMs ??= this.realMs;
+        key.startedAtMs ??= this.currentMs;
         this.count(`${key.kind} started`);
         if (key.runs > 1) {
             throw new Error(`${key.kind} key ran ${key.runs} times`);
         }
-        if (this.notRun.has(requestId)) {
-            throw new Error(`${requestId} ran after its caller was told that it had not`);
+        if (this.notRunRequestIds.has(requestId)) {
+            throw new Error(`${requestId} ran after its caller had received not-run`);
         }
     }
 
     private observeRefusal(key: Key, requestId: string, execution: string | undefined): void {
         this.count(`${key.kind} ${execution ?? "withdrawn"}`);
         if (execution === "not-run" && key.runs > 0) {
-            throw new Error(`not-run was said of a ${key.kind} key that ran`);
+            throw new Error(`not-run was reported for a ${key.kind} key that ran`);
         }
         if (execution === "not-run" || execution === undefined) {
-            this.notRun.add(requestId);
+            this.notRunRequestIds.add(requestId);
         }
     }
 
     private getInstant(process: Process): Instant {
-        return { nowMs: this.realMs - 1_800_000_000_000, wallMs: this.realMs + process.skewMs };
+        return { nowMs: this.currentMs - 1_800_000_000_000, wallMs: this.currentMs + process.skewMs };
     }
 
     private count(name: string): void {
