--- a/src/fleet/keys/issuedKey.ts
+++ b/src/fleet/keys/issuedKey.ts
@@ -58,8 +58,8 @@
     if (actual.length !== expected.length || !timingSafeEqual(actual, expected)) {
         return err(new IssuedKeyError("signature"));
     }
-    // Several base64url strings decode to the same bytes; only the canonical one is accepted, so that one key never has two
-    // table entries.
+    // Several base64url strings decode to the same bytes; only the canonical one is accepted, so that one key never has
+    // two table entries.
     if (actual.toString("base64url") !== mac) {
         return err(new IssuedKeyError("malformed"));
     }
--- a/src/fleet/keys/keyOwner.ts
+++ b/src/fleet/keys/keyOwner.ts
@@ -19,8 +19,8 @@
 }
 
 /**
- * Finds the owner of a key. `agents` are the roster entries with the role agent, as this router last read them; a router
- * with an outdated roster may send the request to the wrong agent, which refuses it and names the owner.
+ * Finds the owner of a key. `agents` are the roster entries with the role agent, as this router last read them; a
+ * router with an outdated roster may send the request to the wrong agent, which refuses it and names the owner.
  * Errors: the refusal to return to the caller.
  */
 export function findKeyOwner(
@@ -28,7 +28,7 @@
     agents: readonly RosterAgent[],
     secret: string,
 ): Result<KeyOwner, Refusal> {
-    return isIssuedKey(use.key) ? findIssuedKeyOwner(use, agents, secret) : findChosenKeyOwner(use, agents);
+    return isIssuedKey(use.key) ? findIssuedKeyOwner(use, agents, secret) : findCallerChosenKeyOwner(use, agents);
 }
 
 function findIssuedKeyOwner(
@@ -51,7 +51,7 @@
         });
 }
 
-function findChosenKeyOwner(
+function findCallerChosenKeyOwner(
     use: Pick<KeyUse, "clientAccount" | "service" | "key">,
     agents: readonly RosterAgent[],
 ): Result<KeyOwner, Refusal> {
--- a/src/fleet/keys/keyOwnerAuthority.ts
+++ b/src/fleet/keys/keyOwnerAuthority.ts
@@ -49,8 +49,8 @@
 
     /**
      * Applies the result of a read of the roster stream up to its end. `startedAt` is the instant before the read was
-     * sent, `completedAt` the instant at which its reply arrived. The lease is counted from the start of the read, so the
-     * wait of a long poll must be far shorter than the lease.
+     * sent, `completedAt` the instant at which its reply arrived. The lease is counted from the start of the read, so
+     * the wait of a long poll must be far shorter than the lease.
      */
     public update(history: RosterHistory, startedAt: Instant, completedAt: Instant): void {
         if (this.confirmation !== undefined && startedAt.nowMs < this.confirmation.startedAt.nowMs) {
@@ -58,8 +58,8 @@
         }
         this.confirmation = { history, startedAt };
         const tenure = this.getOwnTenure(history);
-        // An agent that was evicted and registers again must wait for the settling time again: agents that joined in the
-        // meantime do not count it as an earlier owner until that time has passed.
+        // An agent that was evicted by mistake and registers again must wait for the settling time again: agents that
+        // joined in the meantime do not count it as an earlier owner until that time has passed.
         if (tenure !== undefined && tenure.registeredAtMs !== this.registered?.tenure.registeredAtMs) {
             this.registered = { tenure, firstSeenAt: completedAt };
         }
@@ -67,7 +67,7 @@
 
     public check(use: KeyUse, at: Instant): KeyStatus {
         const wallMs = this.wallClock.read(at);
-        return isIssuedKey(use.key) ? this.checkIssued(use, wallMs) : this.checkChosen(use, at, wallMs);
+        return isIssuedKey(use.key) ? this.checkIssued(use, wallMs) : this.checkCallerChosen(use, at, wallMs);
     }
 
     private checkIssued(use: KeyUse, wallMs: number): KeyStatus {
@@ -99,7 +99,7 @@
             : refuseUnknown("The idempotency key has expired, or its expiry is too far ahead.");
     }
 
-    private checkChosen(use: KeyUse, at: Instant, wallMs: number): KeyStatus {
+    private checkCallerChosen(use: KeyUse, at: Instant, wallMs: number): KeyStatus {
         const confirmation = this.confirmation;
         if (confirmation === undefined || !this.isYounger(confirmation.startedAt, at, this.timing.leaseMs)) {
             return refuseUnknown(
@@ -128,7 +128,7 @@
         );
         if (!isNew) {
             return refuseUnknown(
-                "The idempotency key may have been used before this agent became its owner, or before the retention.",
+                "The idempotency key may have been used before this agent became its owner, or longer ago than the retention.",
             );
         }
         const settleRemainingMs = this.getSettleRemainingMs(confirmation.startedAt);
@@ -139,8 +139,8 @@
 
     /**
      * An owner in its settling time is not counted as an earlier owner, so its successor waits only for the successor's
-     * own settling time and not for this owner's lease to expire. Therefore no other process can have started the request
-     * only while the last read here is younger than the settling time.
+     * own settling time and not for this owner's lease to expire. While the last read here is younger than the settling
+     * time, no successor can have started the request, and its execution is `not-run`; afterwards it is `unknown`.
      */
     private refuseUnsettled(readStartedAt: Instant, at: Instant, settleRemainingMs: number): KeyStatus {
         const detail = "The agent registered in the roster recently and does not start caller-chosen keys yet.";
@@ -149,8 +149,8 @@
     }
 
     /**
-     * Prevents an owner that was paused past its lease (SIGSTOP, a frozen VM) from starting a key that its successor has
-     * started too. Checks both clocks, as the monotonic clock may stop while a VM is frozen.
+     * Prevents an owner that was paused past its lease (SIGSTOP, a frozen VM) from starting a key that its successor
+     * has started too. Checks both clocks, as the monotonic clock may stop while a VM is frozen.
      */
     private isYounger(startedAt: Instant, at: Instant, limitMs: number): boolean {
         const elapsedMs = at.nowMs - startedAt.nowMs;
@@ -159,8 +159,8 @@
     }
 
     /**
-     * Remaining settling time at the start of the last read. Because of it, agents that register within the settling time
-     * of each other are not counted as each other's earlier owners; see takeover.ts.
+     * Remaining settling time at the start of the last read. Because of it, agents that register within the settling
+     * time of each other are not counted as each other's earlier owners; see takeover.ts.
      */
     private getSettleRemainingMs(readStartedAt: Instant): number {
         const settledAtMs = (this.registered?.firstSeenAt.nowMs ?? Infinity) + this.timing.settleMs;
--- a/src/fleet/keys/keyTable.ts
+++ b/src/fleet/keys/keyTable.ts
@@ -19,7 +19,7 @@
 export type KeyOutcome =
     /** The complete response is stored under the reference; `answerBytes` is its size. */
     | { readonly type: "completed"; readonly answerReference: string; readonly answerBytes: number }
-    /** The target certainly did not receive the request; the key may be used again. */
+    /** The target did not accept the request, so it cannot have run; the key may be used again. */
     | { readonly type: "not-run" }
     /** The target may have executed the request, and no complete response was received. */
     | { readonly type: "unknown" };
@@ -88,7 +88,8 @@
     /**
      * Decides what to do with a request that has arrived; a decision to run reserves the key for the request.
      * `delegateKey` is an issued key that names another agent; if it is given, a new key is delegated to that agent.
-     * Repeats use the first delegate key: if each repeat were delegated under its own key, two agents could run the request.
+     * Repeats use the first delegate key: if each repeat were delegated under its own key, two agents could run the
+     * request.
      */
     public resolve(use: KeyUse, at: Instant, delegateKey?: string): KeyDecision {
         const keyHash = hashKey(use);
@@ -107,8 +108,8 @@
         this.addToAccount(use.clientAccount, 1);
         if (delegateKey !== undefined) {
             const state: KeyState = { type: "delegated", delegateKey };
-            // The retention begins at the last moment at which the other agent may start the request. If it began now, this
-            // entry could be removed before the retention of that start has passed, and a repeat would run again.
+            // The retention begins at the last moment at which the other agent may start the request. If it began now,
+            // this entry could be removed before the retention of that start has passed, and a repeat would run again.
             const endedAtMs = at.nowMs + this.limits.delegationMs;
             this.entries.set(keyHash, { keyHash, use, state, endedAtMs });
             this.ended.add(keyHash);
@@ -121,8 +122,8 @@
     /**
      * Must be called in the same turn of the event loop in which the request is sent to the target.
      * Undefined: the request may start. A refusal: it must not start; it has not run here, and the key is released.
-     * Checks the authority again because the lease may have expired or another agent may have become the key's owner while
-     * the request was queued, and that agent may have started a repeat.
+     * Checks the authority again because the lease may have expired or another agent may have become the key's owner
+     * while the request was queued, and that agent may have started a repeat.
      */
     public start(keyHash: string, at: Instant): Refusal | undefined {
         const entry = this.entries.get(keyHash);
@@ -236,8 +237,8 @@
 function resolveRepeat(entry: KeyEntry, use: KeyUse): KeyDecision {
     const { keyHash, state } = entry;
     if (entry.use.requestDigest !== use.requestDigest) {
-        // Execution is `unknown`, although this body did not run: on `not-run` a caller would send the request again, and a
-        // request with this key may have run already.
+        // Execution is `unknown`, although this body did not run: on `not-run` a caller would send the request again,
+        // and a request with this key may have run already.
         const refusal = createDuplicateRefusal(
             "unknown",
             "The idempotency key was used with another request; this request did not run.",
--- a/src/fleet/keys/keyTiming.ts
+++ b/src/fleet/keys/keyTiming.ts
@@ -7,8 +7,8 @@
     /** How long a table keeps a key after its run ended; a caller may repeat the request within this time. */
     readonly retentionMs: number;
     /**
-     * How long after its registration an agent starts no caller-chosen key. Because of this wait, agents of a fleet that
-     * starts all at once need not be counted as each other's earlier owners.
+     * Settling time: how long after its registration an agent starts no caller-chosen key. Because of this wait, agents
+     * of a fleet that starts all at once need not be counted as each other's earlier owners.
      */
     readonly settleMs: number;
     /** Maximum error of the difference between the dates of two records in one stream, compared with real time. */
--- a/src/fleet/keys/takeover.ts
+++ b/src/fleet/keys/takeover.ts
@@ -46,8 +46,9 @@
     const endTimesMs = history.tenures
         .filter(tenure => tenure !== own && tenure.services.includes(key.service))
         .map(tenure => ({ tenure, endMs: computeOwnershipEnd(tenure, own, key.keyHash) }))
-        // An owner starts no caller-chosen key during its settling time, and afterwards only after a read that includes all
-        // records appended during that time. So agents that start together as a new fleet are not each other's predecessors.
+        // An owner starts no caller-chosen key during its settling time, and afterwards only after a read that includes
+        // all records appended during that time. So agents that start together as a new fleet are not each other's
+        // predecessors.
         .filter(({ tenure, endMs }) => tenure.registeredAtMs + timing.settleMs <= endMs + timing.logSlackMs)
         .map(({ endMs }) => endMs);
     if (history.completeSinceMs !== undefined) {
@@ -58,7 +59,9 @@
     return endTimesMs.length === 0 ? undefined : Math.max(...endTimesMs);
 }
 
-/** When the tenure stopped owning the key at the latest: on this agent's registration, unless its agent ranks higher. */
+/**
+ * When the tenure stopped owning the key at the latest: on this agent's registration, unless its agent ranks higher.
+ */
 function computeOwnershipEnd(tenure: Tenure, own: Tenure, keyHash: string): number {
     const ranked = orderByRendezvous(keyHash, [tenure, own], candidate => candidate.agentId);
     const isRankedHigher = tenure.agentId !== own.agentId && ranked[0] === tenure;
--- a/test/fleet/keys.property.test.ts
+++ b/test/fleet/keys.property.test.ts
@@ -48,7 +48,7 @@
 const startNext = fc
     .tuple(processIndex, fc.integer({ min: 0, max: 9 }))
     .map(([index, chance]) =>
-        createCommand(`start at ${index}, accepted ${chance > 0}`, world => world.startNext(index, chance > 0)),
+        createCommand(`start at ${index}, chance ${chance}`, world => world.startNext(index, chance > 0)),
     );
 const weightedCommands: readonly { readonly weight: number; readonly arbitrary: fc.Arbitrary<KeyCommand> }[] = [
     { weight: 8, arbitrary: sendKey },
@@ -156,8 +156,8 @@
         world.readAll();
         world.updateRouter(0);
     },
-    // Guards against an owner in its settling time that reports not-run although its last read is older than the settling
-    // time of another agent.
+    // Guards against an owner in its settling time that reports not-run although its last read is older than the
+    // settling time of another agent.
     "an owner is paused during its settling time while another agent joins": world => {
         world.startAgent(0, false);
         world.readAll();
@@ -238,10 +238,10 @@
 }
 
 describe("idempotency keys", () => {
-    // Guards against a request that runs twice, and against a refusal with execution `not-run` for a request that ran, which
-    // its caller would send again. Requests are repeated through routers with outdated rosters while owners restart, are
-    // paused past their lease, leave and join, and while the log is down, after the same or an earlier owner has started them.
-    // The simulated target counts runs by key, and throws on the second one.
+    // Guards against a request that runs twice, and against a refusal with execution `not-run` for a request that ran,
+    // which its caller would send again. Requests are repeated through routers with outdated rosters while owners
+    // restart, are paused past their lease, leave and join, and while the log is down, after the same or an earlier
+    // owner has started them. The simulated target counts runs by key, and throws on the second one.
     it("run at most once, and are never reported as not-run after they ran", () => {
         const totals: Record<string, number> = {};
         fc.assert(
--- a/test/fleet/keys.test.ts
+++ b/test/fleet/keys.test.ts
@@ -58,8 +58,9 @@
         requestId: `request for ${key}`,
     });
 
-    // One account sends a burst of new keys. Keys of other accounts must still be accepted, and a full table must refuse new
-    // keys until the retention of an old one has passed. A key removed earlier would run again when its request is repeated.
+    // One account sends a burst of new keys. Keys of other accounts must still be accepted, and a full table must
+    // refuse new keys until the retention of an old one has passed. A key removed earlier would run again when its
+    // request is repeated.
     it("refuses new keys when full and removes none before its retention has passed", () => {
         const limits = {
             maxEntries: 4,
@@ -108,8 +109,8 @@
 });
 
 describe("takeover", () => {
-    // A caller whose clock is 28 s ahead creates a key 9 s after a takeover, and the earlier owner starts it within its lease.
-    // The new owner must not treat the key as created after the takeover, as it would start it again.
+    // A caller whose clock is 28 s ahead creates a key 9 s after a takeover, and the earlier owner starts it within its
+    // lease. The new owner must not treat the key as created after the takeover, as it would start it again.
     it("treats a dated key as new only after the earlier owner's lease plus the maximum clock skew", () => {
         const takeoverMs = 1_800_000_000_000;
         const services = ["registration"];
--- a/test/fleet/keysWorld.ts
+++ b/test/fleet/keysWorld.ts
@@ -14,7 +14,9 @@
 const service = "registration";
 const clientAccount = "club";
 const timing = defaultKeyTiming;
-/** Offsets of agents' and callers' wall clocks from the log's clock; any two differ by at most the maximum clock skew. */
+/**
+ * Offsets of agents' and callers' wall clocks from the log's clock; any two differ by at most the maximum clock skew.
+ */
 const agentSkewsMs = [0, 1_000, -1_000];
 const callerSkewsMs = [0, 28_000, -28_000, 28_000];
 
@@ -47,7 +49,9 @@
     read: Read | undefined;
 }
 
-/** Simulated agents, three routers, one log stream, and a target that counts runs; throws on each violated guarantee. */
+/**
+ * Simulated agents, three routers, one log stream, and a target that counts runs; throws on each violated guarantee.
+ */
 export class KeyWorld {
     public readonly counts: Record<string, number> = {};
     private readonly random = new SeededRandom(2);
@@ -183,7 +187,9 @@
         }
     }
 
-    /** A caller sends the request of a recent key; with `isStale` it reaches the agent's oldest process that still runs. */
+    /**
+     * A caller sends the request of a recent key; with `isStale` it reaches the agent's oldest process that still runs.
+     */
     public sendKey(index: number, router: number, isStale: boolean): void {
         const key = this.keys[this.keys.length - 1 - index];
         // The guarantee for undated keys ends with the retention; dated and issued keys contain a date of their own.
@@ -201,7 +207,10 @@
         );
     }
 
-    /** The agent sends its oldest waiting request to the target; if `isAccepted` is false, the target refuses the connection. */
+    /**
+     * The agent sends its oldest waiting request to the target; if `isAccepted` is false, the target refuses the
+     * connection.
+     */
     public startNext(index: number, isAccepted: boolean): void {
         const process = this.processes[index % this.processes.length];
         const next = process === undefined || process.isPaused ? undefined : process.waiting.shift();
