--- a/src/daemon/keyHistory.ts
+++ b/src/daemon/keyHistory.ts
@@ -4,7 +4,7 @@
 /** The roster's memberships in the form in which the authority over keys reads them. */
 export function createKeyHistory(roster: RosterState): RosterHistory {
     return {
-        tenures: roster.spans
+        tenures: roster.memberships
             .filter(span => span.entry.role === "agent")
             .map(span => ({
                 agentId: span.entry.daemonId,
@@ -13,6 +13,6 @@
                 registeredAtMs: span.fromMs,
                 endedAtMs: span.untilMs,
             })),
-        completeSinceMs: Number.isFinite(roster.historyKnownSinceMs) ? roster.historyKnownSinceMs : undefined,
+        completeSinceMs: Number.isFinite(roster.historyCompleteSinceMs) ? roster.historyCompleteSinceMs : undefined,
     };
 }
--- a/src/fleet/rosterState.ts
+++ b/src/fleet/rosterState.ts
@@ -48,7 +48,7 @@
 }
 
 /** A membership in time: from its registration to its end. Offsets and times are the log's. */
-export interface RosterSpan {
+export interface RosterMembership {
     readonly entry: RosterEntry;
     readonly registration: number;
     /** Offset from which the daemon is a member. */
@@ -104,7 +104,7 @@
     private readonly memberTable = new Map<string, RosterMember>();
     private readonly departures = new Map<string, Departure>();
     private readonly firstServed = new Map<string, number>();
-    private spanTable: RosterSpan[] = [];
+    private spanTable: RosterMembership[] = [];
     private next = 0;
     private knownSinceMs = -Infinity;
     private isFromStart = true;
@@ -124,17 +124,17 @@
     }
 
     /** Memberships, ended ones of the last `historyMs` included, in order of registration. */
-    public get spans(): readonly RosterSpan[] {
+    public get memberships(): readonly RosterMembership[] {
         return this.spanTable;
     }
 
     /** Log time since which the spans are complete; -Infinity when the stream was read from its start. */
-    public get historyKnownSinceMs(): number {
+    public get historyCompleteSinceMs(): number {
         return this.knownSinceMs;
     }
 
     /** The memberships that held right after the record at `offset`. */
-    public listMembersAt(offset: number): readonly RosterSpan[] {
+    public listMembersAt(offset: number): readonly RosterMembership[] {
         return this.spanTable.filter(
             span => span.fromOffset <= offset && (span.untilOffset === undefined || span.untilOffset > offset),
         );
--- a/src/fleet/snapshotSchedule.ts
+++ b/src/fleet/snapshotSchedule.ts
@@ -8,7 +8,7 @@
 export const snapshotRecordLimit = 1_000;
 
 /** What is known of the newest snapshot. */
-export interface SnapshotNeed {
+export interface SnapshotStatus {
     /** When the oldest record was appended that a reader without state needs; platform's clock. */
     readonly neededSinceMs: number | undefined;
     readonly recordsSinceSnapshot: number;
@@ -33,7 +33,7 @@
     ) {}
 
     /** Whether to append one now; call it after every read. */
-    public isDue(need: SnapshotNeed): boolean {
+    public isDue(need: SnapshotStatus): boolean {
         if (this.seenAtMs === undefined || this.seenNeed !== need.neededSinceMs) {
             this.seenNeed = need.neededSinceMs;
             this.seenAtMs = need.nowMs;
@@ -51,7 +51,7 @@
     }
 
     /** A wall clock that lags would hide the age; what this process has waited itself counts as well. */
-    private isOld(need: SnapshotNeed, seenAtMs: number): boolean {
+    private isOld(need: SnapshotStatus, seenAtMs: number): boolean {
         const ageMs = Math.max(need.wallMs - (need.neededSinceMs ?? need.wallMs), need.nowMs - seenAtMs);
         return ageMs > this.retentionMs * snapshotAgeShare || need.recordsSinceSnapshot > snapshotRecordLimit;
     }
--- a/test/fleet/rosterState.test.ts
+++ b/test/fleet/rosterState.test.ts
@@ -50,7 +50,7 @@
         const state = new RosterState(computeRosterTimes(retentionMs));
         const evicted = [buildRegister("a", 1, -1), buildLeave("a", 1, 0), buildRegister("a", 1, 1)];
         expect(applyAll(state, [...evicted, buildLeave("a", 1, 0)])).toBe("a/1@2");
-        expect(state.spans.map(({ fromOffset, untilOffset }) => [fromOffset, untilOffset])).toEqual([
+        expect(state.memberships.map(({ fromOffset, untilOffset }) => [fromOffset, untilOffset])).toEqual([
             [0, 1],
             [2, undefined],
         ]);
@@ -66,7 +66,7 @@
         const late = { ...bare, entry: { ...bare.entry, services: [] } };
         applyAll(state, [late, buildRegister("a", 1, 0), late]);
         expect(state.members.get("a")?.entry.services).toEqual(["chat"]);
-        expect(state.spans.map(span => [span.registration, span.fromOffset, span.entry.services])).toEqual([
+        expect(state.memberships.map(span => [span.registration, span.fromOffset, span.entry.services])).toEqual([
             [0, 0, []],
             [0, 1, ["chat"]],
         ]);
