--- a/src/fleet/agentMessages.ts
+++ b/src/fleet/agentMessages.ts
@@ -4,65 +4,65 @@
 /** How a run at the target ended. */
 export type RunOutcome =
     | "completed"
-    /** The connection or the stream broke. */
+    /** The connection or the response stream was interrupted. */
     | "failed"
-    /** The target answered with an error. */
+    /** The target returned an error response. */
     | "target-error"
     | "cancelled"
     | "refused-by-target";
 
-/** What the shell of an agent tells its core. */
+/** Messages from an agent's shell (its I/O layer) to its core. */
 export type AgentMessage =
-    /** A router sent a request; deadline already turned into this process's clock. */
+    /** A router sent a request; its deadline is already converted to this process's monotonic clock. */
     | { readonly type: "workOffered"; readonly request: WorkRequest; readonly routerId: string }
-    /** A router asks for a request back. Answered by withdrawn or withdrawRefused. */
+    /** A router withdraws a request. The core replies with workWithdrawn or withdrawRefused. */
     | {
           readonly type: "withdrawRequested";
           readonly requestId: string;
-          /** Incarnation the request was sent to, if the router knows; another one cannot say that it never started. */
+          /** Incarnation that the request was sent to, if known; another one cannot confirm that it never started. */
           readonly incarnation?: number;
       }
-    /** The router's connection closed, or the caller left. */
+    /** The router's connection closed, or the caller disconnected. */
     | { readonly type: "workCancelled"; readonly requestId: string }
-    /** The target sent the first token or response head. */
+    /** The target sent the first token or the response head. */
     | { readonly type: "firstOutput"; readonly requestId: string }
-    /** The target generated more; `tokens` since the last progress. */
+    /** The target generated more output; `tokens` counts those since the previous message of this type. */
     | { readonly type: "progressed"; readonly requestId: string; readonly tokens: number }
     | {
           readonly type: "runEnded";
           readonly requestId: string;
           readonly outcome: RunOutcome;
-          /** Final counts if the target told them, else what was seen. */
+          /** Token counts as reported by the target, otherwise as observed in the response. */
           readonly promptTokens: number;
           readonly generatedTokens: number;
-          /** How long a target that refused wants no requests; milliseconds. */
+          /** How long a target that refused the request asked for no further requests; milliseconds. */
           readonly pauseMs?: number;
       }
-    /** The target's own report, which lags. */
+    /** State reported by the target itself; it may be out of date. */
     | { readonly type: "targetReported"; readonly cold: boolean; readonly running: number; readonly waiting: number }
-    /** The target was unreachable or lost its state. */
+    /** The target was unreachable, or it lost its state. */
     | { readonly type: "targetLost" }
-    /** A router's exchange, or one request of its, brought what other agents have charged. */
+    /** Service charged by other agents, received from a router in the exchange or with a request. */
     | {
           readonly type: "claimsReceived";
           readonly routerId: string;
           readonly claims: readonly ServiceCounter[];
-          /** The exchange when left out. */
+          /** Defaults to the exchange. */
           readonly source?: "exchange" | "work";
       }
     | { readonly type: "documentAccepted"; readonly offset: number; readonly document: EnvironmentDocument }
-    /** This process was told to stop, or its VM is leaving: start nothing new but what is already started. */
+    /** The process was asked to stop or its VM is leaving: started requests finish, no further one starts. */
     | { readonly type: "leaving" };
 
-/** What an agent's core asks of its shell. */
+/** Actions that an agent's core requests from its shell. */
 export type AgentEffect =
-    /** Give the request to the target now. */
+    /** Send the request to the target now. */
     | { readonly type: "startWork"; readonly requestId: string }
-    /** Turn the request away; it was never started here and never will be. */
+    /** Refuse the request; it has not started on this agent and never will. */
     | { readonly type: "refuseWork"; readonly requestId: string; readonly refusal: Refusal }
-    /** Hand back a queued request (asked for, or because the agent leaves); never started, never will be. */
+    /** Return a queued request to its router, on withdrawal or because the agent is leaving; it never starts here. */
     | { readonly type: "workWithdrawn"; readonly requestId: string }
-    /** A withdraw came too late: the request has started or ended here. */
+    /** The withdrawal came too late: the request has already started or ended on this agent. */
     | { readonly type: "withdrawRefused"; readonly requestId: string }
     /** Stop the run at the target. */
     | { readonly type: "cancelRun"; readonly requestId: string };
--- a/src/fleet/core.ts
+++ b/src/fleet/core.ts
@@ -1,12 +1,12 @@
 /**
- * A deterministic state machine without I/O: messages in, effects out, time passed in.
- * The daemons, the property tests and the benchmark drive the same cores.
+ * A deterministic state machine without I/O: it turns messages into effects and receives the time as an argument, so
+ * that daemons, property tests and benchmarks can run the same code.
  */
 export interface Core<Message, Effect> {
-    /** Takes one message and runs the systems; `nowMs` is monotonic and never falls. */
+    /** Processes one message, then runs the core's systems. `nowMs` is monotonic and never decreases. */
     handle(message: Message, nowMs: number): readonly Effect[];
-    /** Runs the systems because time has passed. */
+    /** Runs the core's systems when a timer is due. */
     tick(nowMs: number): readonly Effect[];
-    /** When {@link tick} is next due, so that an idle daemon sleeps; undefined when only a message can change anything. */
+    /** Time of the next {@link tick}, which lets an idle daemon sleep; undefined if only a message can change state. */
     nextTickAtMs(): number | undefined;
 }
--- a/src/fleet/coreRunner.ts
+++ b/src/fleet/coreRunner.ts
@@ -2,13 +2,13 @@
 import type { Disposable } from "../base/lifecycle.js";
 import type { Core } from "./core.js";
 
-/** Runs a function later; an interface, so that tests decide when. */
+/** Schedules callbacks; an interface, so that tests control when they run. */
 export interface Scheduler {
-    /** Calls back once after `ms` milliseconds unless disposed before. */
+    /** Calls `callback` once after `ms` milliseconds, unless disposed earlier. */
     run(callback: () => void, ms: number): Disposable;
 }
 
-/** The runtime's timers; they do not keep the process alive. */
+/** Schedules callbacks with Node.js timers, which do not keep the process alive. */
 export class TimerScheduler implements Scheduler {
     public run(callback: () => void, ms: number): Disposable {
         const timer = setTimeout(callback, Math.max(0, ms));
@@ -17,7 +17,7 @@
     }
 }
 
-/** Feeds a core with messages and time, and hands its effects to the shell in order. */
+/** Passes messages and timer ticks to a core and applies its effects in order. */
 export class CoreRunner<Message, Effect> implements Disposable {
     private timer: Disposable | undefined;
     private timerDueAtMs = Number.POSITIVE_INFINITY;
@@ -33,8 +33,8 @@
     ) {}
 
     /**
-     * Hands the core a message. A message that an effect causes is taken after the effects before it: the core never
-     * sees a message while it is at work on another.
+     * Passes a message to the core. Messages sent while effects are being applied are queued until all effects of the
+     * current message are applied, so that the core is never re-entered.
      */
     public send(message: Message): void {
         if (this.disposed) {
--- a/src/fleet/documentWatcher.ts
+++ b/src/fleet/documentWatcher.ts
@@ -12,7 +12,7 @@
 import type { Sleep } from "../base/sleep.js";
 import { SnapshotSchedule } from "./snapshotSchedule.js";
 
-/** What a {@link DocumentWatcher} needs. */
+/** Dependencies and settings of a {@link DocumentWatcher}. */
 export interface DocumentWatcherOptions {
     readonly environment: string;
     readonly log: LogService;
@@ -20,18 +20,18 @@
     readonly random: Random;
     readonly sleep: Sleep;
     readonly recorder: EventRecorder;
-    /** How long the platform keeps records at least; milliseconds. */
+    /** Minimum time for which the platform keeps log records; milliseconds. */
     readonly logRetentionMs?: number;
-    /** Longest wait of one poll; milliseconds. */
+    /** Maximum duration of one long poll; milliseconds. */
     readonly pollWaitMs?: number;
 }
 
-/** Retention that the daemons count on when the settings say nothing; milliseconds. */
+/** Log retention that daemons assume if the settings have none; milliseconds. */
 export const defaultLogRetentionMs = 3_600_000;
-/** A poll that hangs in a broken connection blinds the daemon until it times out, so polls are kept short. */
+/** Polls are short, since a daemon receives no updates while a poll hangs on a dead connection. */
 const defaultPollWaitMs = 5_000;
 
-/** Keeps the environment's document in force on this daemon: from the log, or from peers while the log is down. */
+/** Provides the environment's current document, read from the log, or from peers while the log is unavailable. */
 export class DocumentWatcher implements Disposable {
     private readonly store = new DisposableStore();
     private readonly cancellation = this.store.add(new CancellationTokenSource());
@@ -41,7 +41,7 @@
     private readonly schedule: SnapshotSchedule;
     private readonly stream: string;
 
-    /** A newer document is in force. Offsets only rise. */
+    /** Fires when a newer document takes effect; offsets always increase. */
     public readonly onDidAccept = this.acceptEmitter.onDidFire;
 
     public constructor(private readonly options: DocumentWatcherOptions) {
@@ -58,22 +58,22 @@
         this.store.add(this.tail.onDidConfirm(() => this.appendSnapshotIfDue()));
     }
 
-    /** The document in force; undefined before the first. */
+    /** The document in effect; undefined until the first one is accepted. */
     public get current(): AcceptedDocument | undefined {
         return this.state.accepted;
     }
 
-    /** Monotonic time up to which the log has confirmed that nothing newer was accepted; undefined before the first. */
+    /** Monotonic time up to which the log confirmed the current document; undefined before the first confirmation. */
     public get lastConfirmedAtMs(): number | undefined {
         return this.tail.lastConfirmedAtMs;
     }
 
-    /** Whether changes can be judged; false after records were lost to retention, until a snapshot or peer helps. */
+    /** Whether changes can be validated; false from the loss of unread records until a snapshot or peer document. */
     public get isHistoryKnown(): boolean {
         return this.state.isHistoryKnown;
     }
 
-    /** Whether the platform's log answered the last read. */
+    /** Whether the last read of the platform's log succeeded. */
     public get isLogConnected(): boolean {
         return this.tail.isConnected;
     }
@@ -82,14 +82,14 @@
         this.tail.start();
     }
 
-    /** Takes a document that a peer passed on; older and equal ones are ignored. */
+    /** Applies a document received from a peer; ignored unless it is newer than the current one. */
     public applyPeerDocument(peer: AcceptedDocument): void {
         if (this.state.applyPeerDocument(peer)) {
             this.fireAccepted("peer");
         }
     }
 
-    /** What to pass on to a peer. */
+    /** The document to send to peers. */
     public buildPeerDocument(): AcceptedDocument | undefined {
         return this.state.buildPeerDocument();
     }
@@ -130,14 +130,14 @@
     private appendSnapshotIfDue(): void {
         const { clock, log } = this.options;
         const snapshot = this.state.buildSnapshot();
-        const need = {
+        const status = {
             neededSinceMs: this.state.neededSinceMs,
             recordsSinceSnapshot: this.state.recordsSinceSnapshot,
             wallMs: clock.nowDate().getTime(),
             nowMs: clock.nowMs(),
         };
-        if (snapshot !== undefined && this.schedule.isDue(need)) {
-            // A lost answer or a failure needs no answer: until a snapshot shows in the log, one stays due.
+        if (snapshot !== undefined && this.schedule.isDue(status)) {
+            // Failures need no handling: a snapshot remains due until one is read from the log.
             void log.append(this.stream, snapshot, this.cancellation.token);
         }
     }
--- a/src/fleet/entities.ts
+++ b/src/fleet/entities.ts
@@ -1,80 +1,80 @@
-/** What is known about whether a request ran. `unknown` is the honest answer when no authority can tell. */
+/** Whether a request was executed; `unknown` if no component can determine it. */
 export type Execution = "not-run" | "unknown" | "ran";
 
-/** Long work is kept from filling all slots of a target, so that short work does not wait behind it. */
+/** Expected length of a request. Long requests may not occupy all slots of a target, so that short ones can run. */
 export type WorkClass = "short" | "long";
 
-/** A request as the cores see it: no body, no network. Times are monotonic milliseconds of the process that holds it. */
+/** A request's metadata as processed by the cores, without body. Times: monotonic clock of the holding process, ms. */
 export interface WorkRequest {
     readonly id: string;
     readonly clientAccount: string;
     readonly service: string;
     readonly kind: "model" | "plain";
-    /** Whether running it twice does no harm. */
+    /** Whether executing the request twice is harmless. */
     readonly idempotent: boolean;
-    /** Set on non-idempotent calls, and on others whose caller sent one. */
+    /** Set on non-idempotent requests, and on others if the caller sent a key. */
     readonly idempotencyKey: string | undefined;
     readonly arrivedAtMs: number;
     readonly deadlineAtMs: number;
-    /** Estimated prompt size; tokens (0 for plain services). */
+    /** Estimated prompt size in tokens; 0 for plain services. */
     readonly promptTokens: number;
-    /** Most tokens that may be generated, if the caller said so. */
+    /** Maximum number of tokens to generate, if the caller set a limit. */
     readonly maxTokens: number | undefined;
-    /** Hash of the prompt's beginning, for cache affinity. */
+    /** Hash of the prompt's prefix, for cache affinity. */
     readonly prefixHash: string | undefined;
     readonly bodyBytes: number;
 }
 
-/** Where a daemon of role agent stands and what it serves. */
+/** Identity of a daemon with the role agent: its location, target and services. */
 export interface AgentIdentity {
-    /** Stable over restarts: the daemon's id. */
+    /** The daemon's id; stable across restarts. */
     readonly agentId: string;
-    /** New at each start of the process; larger means later. */
+    /** Number of the process start; increases with each restart. */
     readonly incarnation: number;
     readonly targetName: string;
     readonly dataCentre: string;
     readonly services: readonly string[];
 }
 
-/** What an agent lets routers do with it. */
+/** Operating phase of an agent, which determines whether routers may send it requests. */
 export type AgentPhase = "serving" | "draining" | "out" | "leaving";
 
-/** One account's service at one service name: two monotone counters, in units over weight. */
+/** What one account received from one service: monotonic counters, in service units divided by weight. */
 export interface ServiceCounter {
     readonly service: string;
     readonly clientAccount: string;
     readonly charged: number;
     readonly refunded: number;
-    /** Greatest known catch-up floor; merged by maximum. */
+    /** Highest known amount added to the counter so that inactivity earns no credit; merged by maximum. */
     readonly lift: number;
 }
 
-/** What an agent says of itself, on the exchange and on answers. */
+/** State that an agent reports about itself in the exchange and with its responses. */
 export interface AgentReport {
     readonly identity: AgentIdentity;
-    /** Rises with each report of one incarnation, so that late reports are dropped. */
+    /** Increases with each report of an incarnation, so that reports received out of order are dropped. */
     readonly sequence: number;
     readonly phase: AgentPhase;
-    /** Requests the target may run at once now. */
+    /** Current limit of concurrent requests at the target. */
     readonly window: number;
     readonly running: number;
-    /** Requests held and not yet started. */
+    /** Requests queued at the agent and not yet started. */
     readonly queued: number;
     /** Whether the target shows signs of a cold start. */
     readonly cold: boolean;
-    /** Smoothed time of one request at the target; milliseconds. */
+    /** Smoothed duration of a request at the target; milliseconds. */
     readonly serviceTimeMs: number;
     readonly documentOffset: number;
-    /** Counters of this agent's own that changed since the peer's last acknowledgement. */
+    /** This agent's own counters that changed since the peer's last acknowledgement. */
     readonly counters: readonly ServiceCounter[];
-    /** Prefix hashes likely to be in the target's cache, newest first; a bounded hint. */
+    /** Hashes of prefixes that are likely in the target's cache, newest first; a hint of limited length. */
     readonly cachedPrefixes: readonly string[];
 }
 
-/** A report that goes along with an answer: the answered account's counter only, and no prefixes, so that it is small. */
+/** A small report sent with a response: no prefixes, and no counter but that of the account that sent the request. */
 export type BriefReport = Omit<AgentReport, "cachedPrefixes"> & { readonly cachedPrefixes?: undefined };
 
-/** Why a request was turned away. */
+/** Why a request was refused. */
 export type RefusalReason =
     | "queue-full"
     | "account-queue-full"
@@ -88,11 +88,11 @@
     | "target-failed"
     | "stopping";
 
-/** A final answer to a request that was not served. */
+/** The final response to a request that was not served. */
 export interface Refusal {
     readonly reason: RefusalReason;
     readonly execution: Execution;
-    /** When to come back; milliseconds. Undefined when coming back is no use. */
+    /** Time after which a retry makes sense; milliseconds. Undefined if a retry cannot succeed. */
     readonly retryAfterMs: number | undefined;
     readonly detail: string;
 }
--- a/src/fleet/evictor.ts
+++ b/src/fleet/evictor.ts
@@ -2,31 +2,31 @@
 import type { Vm } from "../infrastructure/vmList.js";
 import type { RosterEntry } from "./rosterEntry.js";
 
-/** How long a daemon must be both silent and missing from the list of VMs before it is taken out of the roster. */
+/** How long a daemon must be both unresponsive and missing from the VM list before it is removed from the roster. */
 export const evictAfterMs = 30_000;
 
 /**
- * Decides which daemons are gone for good. The list of VMs lags and the exchange may be cut while the VM lives, so one
- * sign alone is no proof: a daemon that was taken out on either would lose its keys' range for nothing. Both together
- * and for long are; a living daemon that is taken out all the same registers again.
+ * Selects daemons to evict from the roster. The VM list lags, and a network failure may interrupt the exchange while
+ * the VM is running, so neither is sufficient evidence: a running daemon would needlessly lose its key range. Both
+ * must hold for {@link evictAfterMs}. A running daemon that is evicted nevertheless registers again.
  */
 export class Evictor {
     private readonly missingSinceMs = new Map<string, number>();
 
     public constructor(private readonly clock: Clock) {}
 
-    /** Daemons to take out now. `isSilent` tells whether a daemon does not answer the exchange. */
+    /** Daemons to evict now. `isUnresponsive` returns whether a daemon does not reply in the exchange. */
     public pick(
         vms: readonly Vm[],
         members: readonly RosterEntry[],
-        isSilent: (daemonId: string) => boolean,
+        isUnresponsive: (daemonId: string) => boolean,
     ): readonly RosterEntry[] {
         const nowMs = this.clock.nowMs();
         const listed = new Set(vms.map(vm => vm.id));
-        const missing = members.filter(member => !listed.has(member.vmId) && isSilent(member.daemonId));
-        const names = new Set(missing.map(member => member.daemonId));
+        const missing = members.filter(member => !listed.has(member.vmId) && isUnresponsive(member.daemonId));
+        const missingIds = new Set(missing.map(member => member.daemonId));
         for (const daemonId of this.missingSinceMs.keys()) {
-            if (!names.has(daemonId)) {
+            if (!missingIds.has(daemonId)) {
                 this.missingSinceMs.delete(daemonId);
             }
         }
--- a/src/fleet/registrar.ts
+++ b/src/fleet/registrar.ts
@@ -18,7 +18,7 @@
 } from "./rosterState.js";
 import type { RosterWatcher } from "./rosterWatcher.js";
 
-/** What a {@link Registrar} needs. */
+/** Dependencies and settings of a {@link Registrar}. */
 export interface RegistrarOptions {
     readonly environment: string;
     readonly entry: RosterEntry;
@@ -27,18 +27,18 @@
     readonly clock: Clock;
     readonly random: Random;
     readonly sleep: Sleep;
-    /** How long the platform keeps records at least; milliseconds. */
+    /** Minimum time for which the platform keeps log records; milliseconds. */
     readonly logRetentionMs?: number;
 }
 
-/** Renewals in one member's lifetime; two may be lost. */
+/** Renewals per member lifetime; a member stays registered if two of them are lost. */
 const renewalsPerLifetime = 3;
-/** Renewals are spread over this share of their period. */
+/** Share of the renewal period over which daemons randomize their renewals. */
 const renewalJitterShare = 0.2;
 const minRetryMs = 200;
 const maxRetryMs = 2_000;
 
-/** Keeps this daemon in the roster while it runs, and takes it out when it stops. */
+/** Keeps this daemon registered in the roster while it runs, and removes it when it stops. */
 export class Registrar implements Disposable {
     private readonly cancellation = new CancellationTokenSource();
     private readonly stream: string;
@@ -53,21 +53,21 @@
         this.renewAfterMs = (memberLifetimeMs / renewalsPerLifetime) * (1 - renewalJitterShare * options.random.next());
     }
 
-    /** Offset of this process's registration, as the log's reader has seen it; undefined while it is not a member. */
+    /** Offset of this process's registration as read from the log; undefined while the process is not a member. */
     public get registration(): number | undefined {
         return this.findSelf()?.registration;
     }
 
     /**
-     * Monotonic time up to which the log has confirmed that this process is a member; undefined while it is not known
-     * to be. What rests on the roster may be done only within a lease from here: another daemon may have evicted this
-     * one in the meantime, and its successor counts on the lease having lapsed.
+     * Monotonic time up to which the log confirmed this process's membership; undefined while it is unconfirmed. Any
+     * action that requires membership is valid only within a lease from this time: another daemon may have evicted this
+     * one since, and its successor assumes that the lease has expired.
      */
     public get lastConfirmedAtMs(): number | undefined {
         return this.findSelf() === undefined ? undefined : this.options.watcher.lastConfirmedAtMs;
     }
 
-    /** Whether a newer process has registered under this daemon's name. */
+    /** Whether a newer process has registered with this daemon's id. */
     public get isReplaced(): boolean {
         const { entry, watcher } = this.options;
         return (watcher.members.get(entry.daemonId)?.entry.incarnation ?? -Infinity) > entry.incarnation;
@@ -79,12 +79,12 @@
         return confirmedAtMs !== undefined && this.options.clock.nowMs() - confirmedAtMs < leaseMs;
     }
 
-    /** Registers in the background and renews for as long as the process runs. */
+    /** Registers in the background and renews the registration while the process runs. */
     public start(): void {
         this.running ??= this.run();
     }
 
-    /** Takes this daemon out of the roster; resolves when the log shows it. Errors: unavailable until the token ended. */
+    /** Removes this daemon from the roster; retries until the log confirms it or the token is cancelled (an error). */
     public removeSelf(token: CancellationToken): ResultAsync<void, PlatformError> {
         const { daemonId, incarnation } = this.options.entry;
         const by = daemonId;
@@ -92,7 +92,7 @@
         return ResultAsync.fromSafePromise(this.stop()).andThen(() => this.appendLeave(record, token));
     }
 
-    /** Takes a daemon that is gone out of the roster. One that registered anew since `member` was read stays. */
+    /** Evicts a daemon from the roster, unless it has registered again since `member` was read. */
     public removeMember(member: RosterMember, token: CancellationToken): ResultAsync<void, PlatformError> {
         const { daemonId, incarnation } = member.entry;
         const record: LeaveRecord = {
@@ -132,7 +132,7 @@
         if (watcher.lastConfirmedAtMs === undefined) {
             return false;
         }
-        // A newer process has this daemon's name: this one was paused and replaced, and must stay out.
+        // A newer process registered with this daemon's id while this one was paused; the older one must not return.
         if (this.isReplaced) {
             return false;
         }
@@ -141,8 +141,8 @@
     }
 
     /**
-     * A lost answer needs no search: the log's reader shows whether this process is a member. Until it does, the record
-     * is appended again, which renews at worst.
+     * If the reply to the append is lost, the roster read from the log shows whether this process is a member. Until it
+     * does, the record is appended again; a duplicate only renews the registration.
      */
     private async appendRegister(token: CancellationToken): Promise<void> {
         const { log, entry, watcher, clock } = this.options;
@@ -179,27 +179,27 @@
 
     private appendLeave(record: LeaveRecord, token: CancellationToken): ResultAsync<void, PlatformError> {
         if (token.isCancelled) {
-            return errAsync(new PlatformError("log", "gave up to leave the roster"));
+            return errAsync(new PlatformError("log", "leaving the roster was cancelled before the log confirmed it"));
         }
         return this.options.log
             .append(this.stream, record, token)
             .map(() => undefined)
             .orElse(() => {
                 this.failures++;
-                const slept = ResultAsync.fromSafePromise<void, PlatformError>(this.sleepBeforeRetry(token));
-                // The answer may be lost though the record is in the log.
-                return slept.andThen(() =>
+                const delay = ResultAsync.fromSafePromise<void, PlatformError>(this.sleepBeforeRetry(token));
+                // The record may have been appended although the reply was lost.
+                return delay.andThen(() =>
                     this.findSelf() === undefined ? okAsync(undefined) : this.appendLeave(record, token),
                 );
             });
     }
 
     private sleepBeforeRetry(token: CancellationToken): Promise<void> {
-        const cap = Math.min(maxRetryMs, minRetryMs * 2 ** Math.min(this.failures, 16));
-        return this.options.sleep(minRetryMs + this.options.random.next() * (cap - minRetryMs), token);
+        const maxDelayMs = Math.min(maxRetryMs, minRetryMs * 2 ** Math.min(this.failures, 16));
+        return this.options.sleep(minRetryMs + this.options.random.next() * (maxDelayMs - minRetryMs), token);
     }
 
-    /** Until the roster was read again: at most one poll while the log answers. */
+    /** Resolves after the next read of the roster, within one poll while the log is available. */
     private waitForChange(token: CancellationToken): Promise<void> {
         return new Promise(resolve => {
             if (token.isCancelled) {
--- a/src/fleet/rosterEntry.ts
+++ b/src/fleet/rosterEntry.ts
@@ -1,11 +1,11 @@
 import { z } from "zod";
 
-/** One daemon as the log's roster stream knows it. */
+/** Schema of a daemon's entry in the roster stream. */
 export const rosterEntrySchema = z.object({
     daemonId: z.string(),
     role: z.enum(["router", "agent"]),
     incarnation: z.number().int(),
-    /** Where its control API listens: host and port. */
+    /** Host and port of the daemon's control API. */
     address: z.string(),
     dataCentre: z.string(),
     vmId: z.string(),
@@ -13,5 +13,5 @@
     services: z.array(z.string()).readonly(),
 });
 
-/** One daemon as the roster knows it. */
+/** A daemon's entry in the roster. */
 export type RosterEntry = Readonly<z.infer<typeof rosterEntrySchema>>;
--- a/src/fleet/rosterState.ts
+++ b/src/fleet/rosterState.ts
@@ -2,72 +2,72 @@
 import { z } from "zod";
 import { rosterEntrySchema, type RosterEntry } from "./rosterEntry.js";
 
-/** A daemon says that it runs; repeated before the log's retention passes. */
+/** Registers a running daemon, or renews its registration; repeated well within the log's retention. */
 export const registerRecordSchema = z.object({
     type: z.literal("register"),
     id: z.string(),
     entry: rosterEntrySchema,
-    /** Last offset that the writer had read; -1 for none. */
+    /** Last offset that the writer had read; -1 if none. */
     knownUpTo: z.number().int().min(-1),
-    /** Set on repeats: offset of the registration that is renewed. */
+    /** Offset of the renewed registration; set on renewals only. */
     registration: z.number().int().nonnegative().optional(),
 });
 
-/** A daemon stops, or another says that it is gone. */
+/** Ends a membership: the daemon stops, or another daemon evicts it. */
 export const leaveRecordSchema = z.object({
     type: z.literal("leave"),
     id: z.string(),
     daemonId: z.string(),
     incarnation: z.number().int(),
     reason: z.enum(["stopped", "evicted"]),
-    /** Daemon that wrote the record. */
+    /** Id of the daemon that wrote the record. */
     by: z.string(),
-    /** Registration that an eviction is about; one that came later stands. */
+    /** Offset of the registration that an eviction ends; later registrations are not affected. */
     registration: z.number().int().nonnegative().optional(),
 });
 
-/** Any record of an environment's roster stream. */
+/** Schema of all records in an environment's roster stream. */
 export const rosterRecordSchema = z.discriminatedUnion("type", [registerRecordSchema, leaveRecordSchema]);
 
-/** See {@link registerRecordSchema}. */
+/** A record that matches {@link registerRecordSchema}. */
 export type RegisterRecord = Readonly<z.infer<typeof registerRecordSchema>>;
-/** See {@link leaveRecordSchema}. */
+/** A record that matches {@link leaveRecordSchema}. */
 export type LeaveRecord = Readonly<z.infer<typeof leaveRecordSchema>>;
 
 /** A registered daemon. */
 export interface RosterMember {
     readonly entry: RosterEntry;
-    /** Offset of the registration that began this membership; the fencing number of its orders and leases. */
+    /** Offset of the registration that started this membership; fencing token of the daemon's orders and leases. */
     readonly registration: number;
-    /** Last registration or renewal; platform's clock. */
+    /** Time of the last registration or renewal; platform's clock. */
     readonly renewedAtMs: number;
-    /** The same on the scale that leaves out the log's outages; see {@link RosterState}. */
+    /** The same time on a scale that excludes outages of the log; see {@link RosterState}. */
     readonly renewedAtActiveMs: number;
-    /** What the writer of the newest registration had read. */
+    /** Last offset that the writer of the newest registration had read; -1 if none. */
     readonly knownUpTo: number;
 }
 
-/** A membership in time: from its registration to its end. Offsets and times are the log's. */
+/** A membership from registration to end. Offsets and times are those of the log. */
 export interface RosterMembership {
     readonly entry: RosterEntry;
     readonly registration: number;
-    /** Offset from which the daemon is a member. */
+    /** Offset of the record that started the membership. */
     readonly fromOffset: number;
     readonly fromMs: number;
-    /** Offset from which the daemon is no longer a member; undefined while it is one. */
+    /** Offset of the record that ended the membership; undefined while the daemon is a member. */
     readonly untilOffset: number | undefined;
     readonly untilMs: number | undefined;
 }
 
-/** Times of the roster, all shares of the log's retention. */
+/** Durations that the roster uses, derived from the log's retention. */
 export interface RosterTimes {
-    /** A member that did not renew for this long is dropped; at most a quarter of the log's retention. */
+    /** Time without renewal after which a member is dropped; at most a quarter of the log's retention. */
     readonly memberLifetimeMs: number;
-    /** How long ended memberships are remembered. */
+    /** How long ended memberships are kept. */
     readonly historyMs: number;
 }
 
-/** Part of the roster stream. */
+/** Consecutive records of the roster stream. */
 interface RosterPage {
     readonly records: readonly { readonly offset: number; readonly appendedAtMs: number; readonly value: unknown }[];
     readonly firstOffset: number;
@@ -79,36 +79,40 @@
     readonly atActiveMs: number;
 }
 
-/** A silence longer than this share of a member's lifetime is an outage: a live fleet renews more often. */
+/**
+ * An interval without records that is longer than this share of a member's lifetime counts as an outage, since a
+ * running fleet renews more often.
+ */
 const outageShare = 1 / 2;
 
-/** Name of an environment's roster stream on the platform's log. */
+/** Name of an environment's roster stream in the platform's log. */
 export function formatRosterStream(environment: string): string {
     return `roster-${environment}`;
 }
 
-/** Times that suit a log which keeps records for `retentionMs`. */
+/** Computes the roster's durations for a log that keeps records for `retentionMs`. */
 export function computeRosterTimes(retentionMs: number): RosterTimes {
     return { memberLifetimeMs: retentionMs / 4, historyMs: retentionMs / 2 };
 }
 
 /**
- * The roster as a deterministic fold over its stream. Members renew their registration several times in a lifetime, and
- * a lifetime is far shorter than the log's retention, so the retained records alone give a reader without state the
- * same members; renewals do the work of snapshots. Time is the log's, so that all readers drop a member at one record.
+ * The roster, computed deterministically from the records of its stream. Members renew several times per lifetime, and
+ * a lifetime is far shorter than the log's retention. A reader without state therefore gets the same members from the
+ * retained records alone, without snapshots. Expiry uses the log's time, so that all readers drop a member at the same
+ * record.
  *
- * The log's outages do not count: after one that outlasts a lifetime, the first renewal would otherwise drop all other
- * members at once, and every key would change its home while the rest of the fleet comes back.
+ * Outages of the log do not count towards expiry. Otherwise, after an outage longer than a lifetime, the first renewal
+ * would drop all other members, and every key would change its owner while the other daemons reconnect.
  */
 export class RosterState {
     private readonly memberTable = new Map<string, RosterMember>();
     private readonly departures = new Map<string, Departure>();
-    private readonly firstServed = new Map<string, number>();
-    private spanTable: RosterMembership[] = [];
+    private readonly firstServedOffsets = new Map<string, number>();
+    private membershipTable: RosterMembership[] = [];
     private next = 0;
-    private knownSinceMs = -Infinity;
+    private completeSinceMs = -Infinity;
     private isFromStart = true;
-    private isGapOpen = false;
+    private isAfterGap = false;
     private lastRecordAtMs: number | undefined;
     private activeMs = 0;
 
@@ -123,29 +127,31 @@
         return this.memberTable;
     }
 
-    /** Memberships, ended ones of the last `historyMs` included, in order of registration. */
+    /** Current memberships and those that ended within `historyMs`, in order of registration. */
     public get memberships(): readonly RosterMembership[] {
-        return this.spanTable;
+        return this.membershipTable;
     }
 
-    /** Log time since which the spans are complete; -Infinity when the stream was read from its start. */
+    /** Log time from which {@link memberships} is complete; -Infinity if the stream was read from its start. */
     public get historyCompleteSinceMs(): number {
-        return this.knownSinceMs;
+        return this.completeSinceMs;
     }
 
-    /** The memberships that held right after the record at `offset`. */
+    /** Memberships that were current immediately after the record at `offset`. */
     public listMembersAt(offset: number): readonly RosterMembership[] {
-        return this.spanTable.filter(
-            span => span.fromOffset <= offset && (span.untilOffset === undefined || span.untilOffset > offset),
+        return this.membershipTable.filter(
+            membership =>
+                membership.fromOffset <= offset &&
+                (membership.untilOffset === undefined || membership.untilOffset > offset),
         );
     }
 
     /**
-     * Whether some agent may have served the service before `offset`. True as well when the records that would tell are
-     * gone: a home that took "never" on trust could run a key again that another home has run.
+     * Whether an agent may have served the service before `offset`. Also true if the relevant records have expired: a
+     * key owner that wrongly assumed "never" could run a request again that an earlier owner has already run.
      */
     public hasServedBefore(service: string, offset: number): boolean {
-        return !this.isFromStart || (this.firstServed.get(service) ?? Infinity) < offset;
+        return !this.isFromStart || (this.firstServedOffsets.get(service) ?? Infinity) < offset;
     }
 
     /** Applies records in log order. Returns whether the members changed. */
@@ -166,22 +172,22 @@
         return changed;
     }
 
-    /** Records are missing. Members stay until they expire: dropping them would leave nobody to route to. */
+    /** Handles missing records. Members stay until they expire; otherwise there would be no agents to route to. */
     private openGap(startOffset: number): void {
         this.next = startOffset;
         this.isFromStart = false;
-        this.isGapOpen = true;
-        this.knownSinceMs = Infinity;
+        this.isAfterGap = true;
+        this.completeSinceMs = Infinity;
     }
 
     private advanceTime(atMs: number): void {
-        const silenceMs = Math.max(0, atMs - (this.lastRecordAtMs ?? atMs));
-        this.activeMs += silenceMs > this.times.memberLifetimeMs * outageShare ? 0 : silenceMs;
+        const intervalMs = Math.max(0, atMs - (this.lastRecordAtMs ?? atMs));
+        this.activeMs += intervalMs > this.times.memberLifetimeMs * outageShare ? 0 : intervalMs;
         this.lastRecordAtMs = atMs;
-        if (this.isGapOpen) {
-            this.isGapOpen = false;
-            // Whoever was a member before the gap and still is has renewed by then.
-            this.knownSinceMs = atMs + this.times.memberLifetimeMs;
+        if (this.isAfterGap) {
+            this.isAfterGap = false;
+            // By then, each member from before the gap has renewed or expired.
+            this.completeSinceMs = atMs + this.times.memberLifetimeMs;
         }
     }
 
@@ -201,62 +207,65 @@
 
     private applyRegister(offset: number, atMs: number, record: RegisterRecord): boolean {
         const { entry } = record;
-        const present = this.memberTable.get(entry.daemonId);
-        if (this.isLate(record, present)) {
+        const current = this.memberTable.get(entry.daemonId);
+        if (this.isOutdated(record, current)) {
             return false;
         }
-        const isSameProcess = present?.entry.incarnation === entry.incarnation;
-        const registration = isSameProcess ? present.registration : (record.registration ?? offset);
+        const isSameProcess = current?.entry.incarnation === entry.incarnation;
+        const registration = isSameProcess ? current.registration : (record.registration ?? offset);
         const renewal = { renewedAtMs: atMs, renewedAtActiveMs: this.activeMs, knownUpTo: record.knownUpTo };
         const member: RosterMember = { entry, registration, ...renewal };
-        if (isSameProcess && isDeepStrictEqual(present.entry, entry)) {
+        if (isSameProcess && isDeepStrictEqual(current.entry, entry)) {
             this.memberTable.set(entry.daemonId, member);
             return false;
         }
-        this.closeSpan(entry.daemonId, offset, atMs);
+        this.closeMembership(entry.daemonId, offset, atMs);
         this.memberTable.set(entry.daemonId, member);
         const openEnd = { untilOffset: undefined, untilMs: undefined };
-        this.spanTable.push({ entry, registration, fromOffset: offset, fromMs: atMs, ...openEnd });
+        this.membershipTable.push({ entry, registration, fromOffset: offset, fromMs: atMs, ...openEnd });
         for (const service of entry.role === "agent" ? entry.services : []) {
-            this.firstServed.set(service, Math.min(this.firstServed.get(service) ?? Infinity, registration));
+            this.firstServedOffsets.set(
+                service,
+                Math.min(this.firstServedOffsets.get(service) ?? Infinity, registration),
+            );
         }
         return true;
     }
 
     /**
-     * An append whose answer was lost may land after the daemon has left, or after it or a newer process has registered
-     * again. Taken for valid, it would bring a stopped daemon or its old services back into the roster, and keys would
-     * go to a home that does not answer. The writer says what it had read, so that every reader can tell.
+     * Whether a register record is outdated. A delayed append may reach the log after the daemon has left, or after the
+     * daemon or a newer process has registered again. Applying the record would restore a stopped daemon or its old
+     * services, and keys would be sent to an owner that does not respond. `knownUpTo` lets every reader detect this.
      */
-    private isLate(record: RegisterRecord, present: RosterMember | undefined): boolean {
+    private isOutdated(record: RegisterRecord, current: RosterMember | undefined): boolean {
         const { daemonId, incarnation } = record.entry;
         const departure = this.departures.get(daemonId);
         if (departure !== undefined && departure.offset > record.knownUpTo && departure.incarnation >= incarnation) {
             return true;
         }
-        if (present === undefined || present.entry.incarnation < incarnation) {
+        if (current === undefined || current.entry.incarnation < incarnation) {
             return false;
         }
-        return present.entry.incarnation > incarnation || present.knownUpTo > record.knownUpTo;
+        return current.entry.incarnation > incarnation || current.knownUpTo > record.knownUpTo;
     }
 
     private applyLeave(offset: number, atMs: number, record: LeaveRecord): boolean {
-        const present = this.memberTable.get(record.daemonId);
-        if (present !== undefined && present.entry.incarnation > record.incarnation) {
+        const current = this.memberTable.get(record.daemonId);
+        if (current !== undefined && current.entry.incarnation > record.incarnation) {
             return false;
         }
-        if (record.registration !== undefined && present !== undefined && present.registration > record.registration) {
+        if (record.registration !== undefined && current !== undefined && current.registration > record.registration) {
             return false;
         }
         this.departures.set(record.daemonId, { incarnation: record.incarnation, offset, atActiveMs: this.activeMs });
-        return this.closeSpan(record.daemonId, offset, atMs);
+        return this.closeMembership(record.daemonId, offset, atMs);
     }
 
-    private closeSpan(daemonId: string, untilOffset: number, untilMs: number): boolean {
-        this.spanTable = this.spanTable.map(span =>
-            span.entry.daemonId === daemonId && span.untilOffset === undefined
-                ? { ...span, untilOffset, untilMs }
-                : span,
+    private closeMembership(daemonId: string, untilOffset: number, untilMs: number): boolean {
+        this.membershipTable = this.membershipTable.map(membership =>
+            membership.entry.daemonId === daemonId && membership.untilOffset === undefined
+                ? { ...membership, untilOffset, untilMs }
+                : membership,
         );
         return this.memberTable.delete(daemonId);
     }
@@ -264,16 +273,20 @@
     private removeExpired(offset: number, atMs: number): boolean {
         const expiresBeforeMs = this.activeMs - this.times.memberLifetimeMs;
         const expired = [...this.memberTable.values()].filter(member => member.renewedAtActiveMs < expiresBeforeMs);
-        expired.forEach(member => this.closeSpan(member.entry.daemonId, offset, atMs));
+        expired.forEach(member => this.closeMembership(member.entry.daemonId, offset, atMs));
         for (const [daemonId, departure] of this.departures) {
             if (departure.atActiveMs < expiresBeforeMs) {
                 this.departures.delete(daemonId);
             }
         }
-        const forgetBeforeMs = atMs - this.times.historyMs;
-        if (this.spanTable.some(span => span.untilMs !== undefined && span.untilMs < forgetBeforeMs)) {
-            this.spanTable = this.spanTable.filter(
-                span => span.untilMs === undefined || span.untilMs >= forgetBeforeMs,
+        const removeBeforeMs = atMs - this.times.historyMs;
+        if (
+            this.membershipTable.some(
+                membership => membership.untilMs !== undefined && membership.untilMs < removeBeforeMs,
+            )
+        ) {
+            this.membershipTable = this.membershipTable.filter(
+                membership => membership.untilMs === undefined || membership.untilMs >= removeBeforeMs,
             );
         }
         return expired.length > 0;
--- a/src/fleet/rosterWatcher.ts
+++ b/src/fleet/rosterWatcher.ts
@@ -9,34 +9,34 @@
 import { defaultLogRetentionMs } from "./documentWatcher.js";
 import { computeRosterTimes, formatRosterStream, RosterState, type RosterMember } from "./rosterState.js";
 
-/** What a {@link RosterWatcher} needs. */
+/** Dependencies and settings of a {@link RosterWatcher}. */
 export interface RosterWatcherOptions {
     readonly environment: string;
     readonly log: LogService;
     readonly clock: Clock;
     readonly random: Random;
     readonly sleep: Sleep;
-    /** How long the platform keeps records at least; milliseconds. */
+    /** Minimum time for which the platform keeps log records; milliseconds. */
     readonly logRetentionMs?: number;
-    /** Longest wait of one poll; milliseconds. Must be well under the lease of key homes. */
+    /** Maximum duration of one long poll; milliseconds. Must be well below the lease of key owners. */
     readonly pollWaitMs?: number;
 }
 
-/** Under a third of the ten-second lease, so that one lost poll does not let it lapse. */
+/** Less than a third of the key owners' ten-second lease, so that the lease survives one lost poll. */
 const defaultPollWaitMs = 3_000;
 
-/** Follows the roster stream. */
+/** Reads the roster stream continuously and keeps its state up to date. */
 export class RosterWatcher implements Disposable {
     private readonly store = new DisposableStore();
     private readonly changeEmitter = this.store.add(new Emitter<void>());
     private readonly readEmitter = this.store.add(new Emitter<void>());
     private readonly tail: LogTail;
 
-    /** The roster with its history. */
+    /** Current and recent memberships. */
     public readonly state: RosterState;
-    /** A daemon joined, left or expired. */
+    /** Fires when a daemon joined, left or expired. */
     public readonly onDidChange = this.changeEmitter.onDidFire;
-    /** Records were read, or the end of the stream was confirmed. */
+    /** Fires when records were read or the end of the stream was confirmed. */
     public readonly onDidRead = this.readEmitter.onDidFire;
 
     public constructor(private readonly options: RosterWatcherOptions) {
@@ -58,28 +58,28 @@
         return this.state.members;
     }
 
-    /** Monotonic time up to which the log has confirmed this roster; undefined before the first read to the end. */
+    /** Monotonic time up to which the log confirmed this roster; undefined until the stream's end is first reached. */
     public get lastConfirmedAtMs(): number | undefined {
         return this.tail.lastConfirmedAtMs;
     }
 
-    /** The same instant by the wall clock. */
+    /** {@link lastConfirmedAtMs} on the wall clock. */
     public get lastConfirmedWallMs(): number | undefined {
         return this.tail.lastConfirmedWallMs;
     }
 
-    /** Whether the platform's log answered the last read. */
+    /** Whether the last read of the platform's log succeeded. */
     public get isLogConnected(): boolean {
         return this.tail.isConnected;
     }
 
-    /** Reads to the stream's end without waiting. When the read began if nothing new was there, else undefined. */
+    /** Checks, without waiting, for unread records. Returns the read's start time if there are none, else undefined. */
     public async verify(token: CancellationToken): Promise<number | undefined> {
         const { log, clock, environment } = this.options;
-        const beganAtMs = clock.nowMs();
+        const startedAtMs = clock.nowMs();
         const page = await log.read(formatRosterStream(environment), this.state.nextOffset, 0, token);
         const isCurrent = page.isOk() && page.value.endOffset <= this.state.nextOffset;
-        return isCurrent ? beganAtMs : undefined;
+        return isCurrent ? startedAtMs : undefined;
     }
 
     public start(): void {
--- a/src/fleet/routerMessages.ts
+++ b/src/fleet/routerMessages.ts
@@ -2,32 +2,32 @@
 import type { AgentReport, Execution, Refusal, ServiceCounter, WorkRequest } from "./entities.js";
 
 /**
- * What the shell of a router tells its core. The shell answers each sendWork in the end with workRefused, workWithdrawn,
- * workFailed or workEnded; the `attempt` in an answer is that of the sendWork, so that an answer that comes late or twice
- * is not taken for one to a later attempt.
+ * Messages from a router's shell (its I/O layer) to its core. The shell eventually reports one of workRefused,
+ * workWithdrawn, workFailed or workEnded for each sendWork, with the `attempt` of that sendWork. A delayed or duplicate
+ * message is therefore not attributed to a later attempt.
  */
 export type RouterMessage =
     /**
-     * A caller's request, authenticated and parsed. A request that must run at most once names the home of its key: it goes
-     * to that agent only; undefined for such a request when no home is known.
+     * A caller's request, authenticated and parsed. A request that must run at most once is sent only to the owner of
+     * its key, `homeAgentId`; the value is undefined for such a request if its key owner is not known.
      */
     | { readonly type: "submitted"; readonly request: WorkRequest; readonly homeAgentId?: string | undefined }
-    /** The caller left. */
+    /** The caller disconnected. */
     | { readonly type: "cancelled"; readonly requestId: string }
-    /** An agent said how it stands, on the exchange or on an answer. */
+    /** An agent reported its state in the exchange or with a response. */
     | { readonly type: "agentReported"; readonly report: AgentReport }
-    /** An agent did not answer the exchange for longer than its lease, or refuses connections. */
+    /** An agent did not reply in the exchange for longer than its lease, or refuses connections. */
     | { readonly type: "agentLost"; readonly agentId: string }
-    /** The agent has begun the request at its target. */
+    /** The agent has started the request at its target. */
     | { readonly type: "workStarted"; readonly requestId: string; readonly agentId: string; readonly attempt?: number }
-    /** The agent says the request never started and never will there. */
+    /** The agent reports that it has not started the request and never will. */
     | {
           readonly type: "workWithdrawn";
           readonly requestId: string;
           readonly agentId: string;
           readonly attempt?: number;
       }
-    /** The key's home handed the key over to another home. */
+    /** The key's owner delegated the key to another agent, `homeAgentId`. */
     | {
           readonly type: "workDelegated";
           readonly requestId: string;
@@ -35,7 +35,7 @@
           readonly attempt?: number;
           readonly homeAgentId: string;
       }
-    /** The agent turned the request away. */
+    /** The agent refused the request. */
     | {
           readonly type: "workRefused";
           readonly requestId: string;
@@ -43,7 +43,7 @@
           readonly attempt?: number;
           readonly refusal: Refusal;
       }
-    /** The way to the agent broke, or the target failed, before an answer began. */
+    /** The connection to the agent was lost, or the target failed, before a response began. */
     | {
           readonly type: "workFailed";
           readonly requestId: string;
@@ -52,7 +52,7 @@
           readonly execution: Execution;
           readonly detail: string;
       }
-    /** The answer is complete (or its failure was already passed to the caller). */
+    /** The response is complete, or its failure has already been forwarded to the caller. */
     | {
           readonly type: "workEnded";
           readonly requestId: string;
@@ -61,19 +61,19 @@
           readonly cost: number;
       }
     | { readonly type: "documentAccepted"; readonly offset: number; readonly document: EnvironmentDocument }
-    /** Graceful shutdown: admit nothing more, finish what is there. */
+    /** Graceful shutdown: admit no more requests and finish the open ones. */
     | { readonly type: "stopping" };
 
-/** What a router's core asks of its shell. */
+/** Actions that a router's core requests from its shell. */
 export type RouterEffect =
-    /** Send the request with its body to the agent; one attempt. */
+    /** Send the request with its body to the agent, as one attempt. */
     | { readonly type: "sendWork"; readonly requestId: string; readonly agentId: string; readonly attempt: number }
-    /** Ask the agent to give the request back; answered by workWithdrawn or workStarted. */
+    /** Withdraw the request from the agent; the reply is workWithdrawn or workStarted. */
     | { readonly type: "withdrawWork"; readonly requestId: string; readonly agentId: string }
-    /** Tell the agent that the caller left. */
+    /** Notify the agent that the caller disconnected. */
     | { readonly type: "cancelWork"; readonly requestId: string; readonly agentId: string }
-    /** Give the caller its final answer now. */
+    /** Send the refusal to the caller as the final response. */
     | { readonly type: "refuse"; readonly requestId: string; readonly refusal: Refusal };
 
-/** Service that other agents have given, as a router knows it: a lower bound; merged by maximum. */
+/** Service provided by other agents as replicated to a router: a lower bound, merged by maximum. */
 export type ServiceClaims = readonly ServiceCounter[];
--- a/src/fleet/snapshotSchedule.ts
+++ b/src/fleet/snapshotSchedule.ts
@@ -1,29 +1,29 @@
 import type { Random } from "../base/random.js";
 
-/** How much of the log's retention may pass before a new snapshot is due. */
+/** Maximum age of the oldest needed record before a snapshot is due, as a share of the log's retention. */
 export const snapshotAgeShare = 1 / 4;
-/** Over how much of the retention the daemons spread their attempts. */
+/** Share of the log's retention over which daemons randomize their attempts. */
 export const snapshotJitterShare = 1 / 16;
-/** Records that a reader without state reads at most before a new snapshot is due. */
+/** Maximum number of records since the last snapshot before a new one is due. */
 export const snapshotRecordLimit = 1_000;
 
-/** What is known of the newest snapshot. */
+/** Age of the records that a reader without state needs, and the current time. */
 export interface SnapshotStatus {
-    /** When the oldest record was appended that a reader without state needs; platform's clock. */
+    /** Append time of the oldest record that a reader without state needs; platform's clock. */
     readonly neededSinceMs: number | undefined;
     readonly recordsSinceSnapshot: number;
-    /** This machine's wall clock. */
+    /** Current wall-clock time of this machine. */
     readonly wallMs: number;
-    /** This process's monotonic clock. */
+    /** Current monotonic time of this process. */
     readonly nowMs: number;
 }
 
 /**
- * Decides when this daemon appends a snapshot. Every daemon may, as none is set aside for it; each waits a random time
- * first and looks again, so that in most rounds one of them writes and the others see its record.
+ * Decides when this daemon appends a snapshot. Any daemon may write one; none is dedicated to it. Each first waits
+ * for a random time and then checks again, so that usually one daemon writes and the others read its record.
  */
 export class SnapshotSchedule {
-    private seenNeed: number | undefined;
+    private seenNeededSinceMs: number | undefined;
     private seenAtMs: number | undefined;
     private attemptAtMs: number | undefined;
 
@@ -32,27 +32,27 @@
         private readonly random: Random,
     ) {}
 
-    /** Whether to append one now; call it after every read. */
-    public isDue(need: SnapshotStatus): boolean {
-        if (this.seenAtMs === undefined || this.seenNeed !== need.neededSinceMs) {
-            this.seenNeed = need.neededSinceMs;
-            this.seenAtMs = need.nowMs;
+    /** Whether to append a snapshot now; call this after every read. */
+    public isDue(status: SnapshotStatus): boolean {
+        if (this.seenAtMs === undefined || this.seenNeededSinceMs !== status.neededSinceMs) {
+            this.seenNeededSinceMs = status.neededSinceMs;
+            this.seenAtMs = status.nowMs;
             this.attemptAtMs = undefined;
         }
-        if (!this.isOld(need, this.seenAtMs)) {
+        if (!this.isOld(status, this.seenAtMs)) {
             return false;
         }
-        this.attemptAtMs ??= need.nowMs + this.random.next() * this.retentionMs * snapshotJitterShare;
-        if (need.nowMs < this.attemptAtMs) {
+        this.attemptAtMs ??= status.nowMs + this.random.next() * this.retentionMs * snapshotJitterShare;
+        if (status.nowMs < this.attemptAtMs) {
             return false;
         }
         this.attemptAtMs = undefined;
         return true;
     }
 
-    /** A wall clock that lags would hide the age; what this process has waited itself counts as well. */
-    private isOld(need: SnapshotStatus, seenAtMs: number): boolean {
-        const ageMs = Math.max(need.wallMs - (need.neededSinceMs ?? need.wallMs), need.nowMs - seenAtMs);
-        return ageMs > this.retentionMs * snapshotAgeShare || need.recordsSinceSnapshot > snapshotRecordLimit;
+    /** Also counts the time measured by this process, as a wall clock that is behind would hide a record's age. */
+    private isOld(status: SnapshotStatus, seenAtMs: number): boolean {
+        const ageMs = Math.max(status.wallMs - (status.neededSinceMs ?? status.wallMs), status.nowMs - seenAtMs);
+        return ageMs > this.retentionMs * snapshotAgeShare || status.recordsSinceSnapshot > snapshotRecordLimit;
     }
 }
--- a/src/fleet/vmWatcher.ts
+++ b/src/fleet/vmWatcher.ts
@@ -5,33 +5,34 @@
 import type { Vm, VmListService } from "../infrastructure/vmList.js";
 import type { Scheduler } from "./coreRunner.js";
 
-/** What a {@link VmWatcher} needs. */
+/** Dependencies and settings of a {@link VmWatcher}. */
 export interface VmWatcherOptions {
     readonly vms: VmListService;
     readonly scheduler: Scheduler;
     readonly random: Random;
-    /** Time between looks; milliseconds. */
+    /** Minimum polling period before jitter; milliseconds. */
     readonly periodMs?: number;
 }
 
 const defaultPeriodMs = 2_000;
-const jitter = 0.4;
-/** Bytes of one VM on the list, about. */
+/** Polling delays vary by this share of the period in total. */
+const jitterShare = 0.4;
+/** Approximate size of one VM in the list. */
 const bytesPerVm = 60;
-/** What reading the list may take of the 5,000 bytes a second that a daemon has for control. */
-const bytesPerSecond = 500;
+/** Part of a daemon's control traffic budget of 5,000 bytes per second that polling the list may use. */
+const maxBytesPerSecond = 500;
 const msPerSecond = 1_000;
 
-/** Looks at the platform's list of VMs on a period. The list lags: it is a hint, never a proof. */
+/** Polls the platform's list of VMs. The list lags, so it is a hint and never proof of a VM's state. */
 export class VmWatcher implements Disposable {
     private readonly store = new DisposableStore();
     private readonly cancellation = this.store.add(new CancellationTokenSource());
-    private readonly changeEmitter = this.store.add(new Emitter<readonly Vm[]>());
+    private readonly readEmitter = this.store.add(new Emitter<readonly Vm[]>());
     private timer: Disposable | undefined;
-    private listedVms = 0;
+    private vmCount = 0;
 
-    /** The list was read. Silent while the platform is down: no list is not an empty list. */
-    public readonly onDidRead = this.changeEmitter.onDidFire;
+    /** Fires when the list was read, but not while the platform is unavailable: no list is not an empty list. */
+    public readonly onDidRead = this.readEmitter.onDidFire;
 
     public constructor(private readonly options: VmWatcherOptions) {}
 
@@ -47,18 +48,18 @@
 
     private async run(): Promise<void> {
         const { vms, scheduler, random, periodMs } = this.options;
-        const list = await vms.list(this.cancellation.token);
+        const result = await vms.list(this.cancellation.token);
         if (this.cancellation.token.isCancelled) {
             return;
         }
-        list.map(value => {
-            this.listedVms = value.length;
-            this.changeEmitter.fire(value);
+        result.map(value => {
+            this.vmCount = value.length;
+            this.readEmitter.fire(value);
         });
-        // The list comes whole. In a large fleet a look every two seconds would be the greater part of all control traffic,
-        // for news that lags anyway: a VM that leaves tells its daemon by SIGTERM.
-        const affordableMs = (this.listedVms * bytesPerVm * msPerSecond) / bytesPerSecond;
-        const delayMs = Math.max(periodMs ?? defaultPeriodMs, affordableMs) * (1 + jitter * (random.next() - 0.5));
+        // Each poll returns the complete list. In a large fleet, polling it every two seconds would be most of all
+        // control traffic, and the list lags anyway: a VM that is leaving notifies its daemon by SIGTERM.
+        const minPeriodMs = (this.vmCount * bytesPerVm * msPerSecond) / maxBytesPerSecond;
+        const delayMs = Math.max(periodMs ?? defaultPeriodMs, minPeriodMs) * (1 + jitterShare * (random.next() - 0.5));
         this.timer = scheduler.run(() => void this.run(), delayMs);
     }
 }
--- a/test/fleet/evictor.test.ts
+++ b/test/fleet/evictor.test.ts
@@ -16,52 +16,52 @@
 const listed: readonly Vm[] = [{ id: "vm-1", dataCentre: "gt-a", state: "live" }];
 
 describe("Evictor", () => {
-    // A VM is replaced: it falls silent and, later, off the platform's list. Callers see its keys answered as unknown
-    // until another agent is home. Taking it out on one sign, or at once, would do so for every network cut.
-    it("takes a daemon out only after it was silent and off the list together for long", () => {
+    // A replaced VM stops responding and later disappears from the platform's list. Until another agent owns its keys,
+    // their callers receive "key unknown". Evicting on one sign alone, or at once, would cause that on each network failure.
+    it("evicts a daemon only after it was both unresponsive and unlisted for the whole period", () => {
         const clock = new ManualClock();
         const evictor = new Evictor(clock);
-        const pick = (vms: readonly Vm[], silent: boolean): readonly string[] =>
-            evictor.pick(vms, [member], () => silent).map(entry => entry.daemonId);
-        const seen: unknown[] = [];
-        seen.push(["silent, listed", pick(listed, true)]);
-        seen.push(["off the list, answers", pick([], false)]);
-        seen.push(["both, first seen", pick([], true)]);
+        const pick = (vms: readonly Vm[], unresponsive: boolean): readonly string[] =>
+            evictor.pick(vms, [member], () => unresponsive).map(entry => entry.daemonId);
+        const results: unknown[] = [];
+        results.push(["unresponsive, listed", pick(listed, true)]);
+        results.push(["unlisted, responsive", pick([], false)]);
+        results.push(["unresponsive and unlisted, first seen", pick([], true)]);
         clock.advance(evictAfterMs - 1);
-        seen.push(["both, not long enough", pick([], true)]);
-        seen.push(["back on the list", pick(listed, true)]);
+        results.push(["unresponsive and unlisted, too short", pick([], true)]);
+        results.push(["listed again", pick(listed, true)]);
         clock.advance(evictAfterMs);
-        seen.push(["both, counted anew", pick([], true)]);
+        results.push(["unresponsive and unlisted, period restarted", pick([], true)]);
         clock.advance(evictAfterMs);
-        seen.push(["both for long", pick([], true)]);
-        expect(seen).toMatchInlineSnapshot(`
+        results.push(["unresponsive and unlisted, whole period", pick([], true)]);
+        expect(results).toMatchInlineSnapshot(`
           [
             [
-              "silent, listed",
+              "unresponsive, listed",
               [],
             ],
             [
-              "off the list, answers",
+              "unlisted, responsive",
               [],
             ],
             [
-              "both, first seen",
+              "unresponsive and unlisted, first seen",
               [],
             ],
             [
-              "both, not long enough",
+              "unresponsive and unlisted, too short",
               [],
             ],
             [
-              "back on the list",
+              "listed again",
               [],
             ],
             [
-              "both, counted anew",
+              "unresponsive and unlisted, period restarted",
               [],
             ],
             [
-              "both for long",
+              "unresponsive and unlisted, whole period",
               [
                 "agent-1",
               ],
--- a/test/fleet/fakeFleet.ts
+++ b/test/fleet/fakeFleet.ts
@@ -5,7 +5,7 @@
 import type { RouterEffect, RouterMessage } from "../../src/fleet/routerMessages.js";
 import { createDocument, createReport, createRequest } from "./routerFixtures.js";
 
-/** One way a run can go on; numbers pick from what is there, modulo its size. */
+/** One step of a simulated run; `pick` is an index into the available choices, modulo their number. */
 export type Step =
     | { readonly kind: "submit"; readonly pick: number; readonly work: "idempotent" | "non-idempotent" | "keyed" }
     | {
@@ -20,17 +20,17 @@
     readonly requestId: string;
     readonly agentId: string;
     readonly attempt: number;
-    /** Where it stands at the agent. */
-    place: "travelling" | "queued" | "started" | "over";
-    /** Whether the router was told, by a message it may rely on, that the attempt will not run (any more). */
+    /** Status at the agent. */
+    status: "inTransit" | "queued" | "started" | "ended";
+    /** Whether the router received a reliable message that the attempt will not run, or no longer runs. */
     released: boolean;
 }
 
 const accounts = ["department", "club1", "club2"];
 
 /**
- * A router with three agents that do as they please, over a network that loses, repeats and reorders. Throws at the
- * first breach of what must hold.
+ * A router with three agents that behave arbitrarily, over a network that loses, duplicates and reorders messages.
+ * Throws at the first violated invariant.
  */
 export class FakeFleet {
     private readonly core: RouterCore;
@@ -66,14 +66,14 @@
             case "repeatToRouter":
                 return this.handleAtRouter(step.pick, step.kind === "repeatToRouter");
             case "breakConnection":
-                return this.closeConnection(pickFrom(this.listOpen(), step.pick));
+                return this.closeConnection(pickFrom(this.listOpenAttempts(), step.pick));
             case "start":
-                return this.start(pickFrom(this.listAt("queued"), step.pick));
+                return this.start(pickFrom(this.listByStatus("queued"), step.pick));
             case "finish":
             case "fail":
-                return this.stop(pickFrom(this.listAt("started"), step.pick), step.kind);
+                return this.stop(pickFrom(this.listByStatus("started"), step.pick), step.kind);
             case "refuse":
-                return this.refuse(pickFrom(this.listAt("queued"), step.pick));
+                return this.refuse(pickFrom(this.listByStatus("queued"), step.pick));
             case "cancel":
                 return this.cancel(step.pick);
             case "report":
@@ -88,17 +88,17 @@
         }
     }
 
-    /** Lets all answers arrive, closes what stays open, and checks that each request had exactly one outcome. */
+    /** Delivers all messages, closes all open connections and checks that each request had exactly one outcome. */
     public runToEnd(): void {
         for (let round = 0; round < 200 && this.core.countWaiting() + this.core.countRunning() > 0; round++) {
             this.toRouter.splice(0).forEach(message => this.sendToRouter(message));
-            this.listOpen().forEach(attempt => this.closeConnection(attempt));
+            this.listOpenAttempts().forEach(attempt => this.closeConnection(attempt));
             this.run({ kind: "advance", ms: 1_000 });
         }
         for (const [requestId, outcomes] of this.outcomes) {
             check(outcomes.length === 1, `${requestId} ended ${outcomes.length} times: ${outcomes.join()}`);
         }
-        check(this.core.countWaiting() + this.core.countRunning() === 0, "something is left over");
+        check(this.core.countWaiting() + this.core.countRunning() === 0, "requests remain open after 200 rounds");
     }
 
     private handleSubmit(pick: number, work: "idempotent" | "non-idempotent" | "keyed"): void {
@@ -115,7 +115,7 @@
         });
         const homeAgentId = work === "keyed" ? pickFrom(this.agentIds, pick) : undefined;
         this.sendToRouter({ type: "submitted", request, homeAgentId });
-        check(this.core.countWaiting() <= maxWaiting, "more waits than the bound");
+        check(this.core.countWaiting() <= maxWaiting, "more requests are waiting than maxWaiting allows");
     }
 
     private handleAtAgent(pick: number): void {
@@ -127,17 +127,17 @@
         const { attempt } = message;
         const key = `${attempt.agentId} ${attempt.requestId}`;
         if (message.type === "offer") {
-            if (attempt.place === "travelling") {
-                attempt.place = this.withdrawnIds.has(key) ? "over" : "queued";
+            if (attempt.status === "inTransit") {
+                attempt.status = this.withdrawnIds.has(key) ? "ended" : "queued";
             }
         } else if (message.type === "cancel") {
-            attempt.place = "over";
-        } else if (attempt.place === "travelling" || attempt.place === "queued") {
+            attempt.status = "ended";
+        } else if (attempt.status === "inTransit" || attempt.status === "queued") {
             this.withdrawnIds.add(key);
-            attempt.place = "over";
-            this.addAnswer(attempt, { type: "workWithdrawn" });
-        } else if (attempt.place === "started") {
-            this.addAnswer(attempt, { type: "workStarted" });
+            attempt.status = "ended";
+            this.addReply(attempt, { type: "workWithdrawn" });
+        } else if (attempt.status === "started") {
+            this.addReply(attempt, { type: "workStarted" });
         }
     }
 
@@ -149,45 +149,50 @@
         }
     }
 
-    /** The router sees a reset; the agent sees its side close at the same time and drops what has not started. */
+    /** Resets the connection: the router receives the error, and the agent drops the attempt at the same time. */
     private closeConnection(attempt: Attempt | undefined): void {
         if (attempt === undefined) {
             return;
         }
-        attempt.place = "over";
-        this.sendToRouter({ ...createAnswer(attempt), type: "workFailed", execution: "unknown", detail: "reset" });
+        attempt.status = "ended";
+        this.sendToRouter({ ...getAttemptIds(attempt), type: "workFailed", execution: "unknown", detail: "reset" });
     }
 
     private start(attempt: Attempt | undefined): void {
         if (attempt === undefined) {
             return;
         }
-        attempt.place = "started";
+        attempt.status = "started";
         const { requestId } = attempt;
         const runs = (this.runs.get(requestId) ?? 0) + 1;
         this.runs.set(requestId, runs);
         check(runs === 1 || this.idempotentIds.has(requestId), `${requestId} ran twice`);
         check(!this.outcomes.get(requestId)?.includes("not-run"), `${requestId} ran after "not-run"`);
-        this.addAnswer(attempt, { type: "workStarted" });
+        this.addReply(attempt, { type: "workStarted" });
     }
 
     private stop(attempt: Attempt | undefined, kind: "finish" | "fail"): void {
         if (attempt === undefined) {
             return;
         }
-        attempt.place = "over";
+        attempt.status = "ended";
         if (kind === "finish") {
-            this.toRouter.push({ ...createAnswer(attempt), type: "workEnded", cost: 10 });
+            this.toRouter.push({ ...getAttemptIds(attempt), type: "workEnded", cost: 10 });
         } else {
-            this.toRouter.push({ ...createAnswer(attempt), type: "workFailed", execution: "ran", detail: "broke" });
+            this.toRouter.push({
+                ...getAttemptIds(attempt),
+                type: "workFailed",
+                execution: "ran",
+                detail: "disconnected",
+            });
         }
     }
 
     private refuse(attempt: Attempt | undefined): void {
         if (attempt !== undefined) {
-            attempt.place = "over";
+            attempt.status = "ended";
             const refusal = { reason: "queue-full", execution: "not-run", retryAfterMs: 1, detail: "full" } as const;
-            this.toRouter.push({ ...createAnswer(attempt), type: "workRefused", refusal });
+            this.toRouter.push({ ...getAttemptIds(attempt), type: "workRefused", refusal });
         }
     }
 
@@ -202,29 +207,29 @@
     private sendReport(agentId: string, phase: "serving" | "draining" = "serving"): void {
         this.sequence += 1;
         const queued = this.attempts.filter(
-            attempt => attempt.agentId === agentId && attempt.place === "queued",
+            attempt => attempt.agentId === agentId && attempt.status === "queued",
         ).length;
-        const running = this.attempts.filter(attempt => attempt.agentId === agentId && attempt.place === "started");
+        const running = this.attempts.filter(attempt => attempt.agentId === agentId && attempt.status === "started");
         const report = createReport(agentId, this.sequence, { phase, queued, running: running.length });
         this.sendToRouter({ type: "agentReported", report });
     }
 
-    private addAnswer(attempt: Attempt, message: { readonly type: "workWithdrawn" | "workStarted" }): void {
-        this.toRouter.push({ ...createAnswer(attempt), ...message });
+    private addReply(attempt: Attempt, message: { readonly type: "workWithdrawn" | "workStarted" }): void {
+        this.toRouter.push({ ...getAttemptIds(attempt), ...message });
     }
 
     private sendToRouter(message: RouterMessage): void {
         this.recordReleases(message);
         const wasOpen = "requestId" in message && this.outcomes.get(message.requestId)?.length === 0;
-        const waitingBefore = this.core.countWaiting() + this.core.countRunning();
+        const openBefore = this.core.countWaiting() + this.core.countRunning();
         this.handleEffects(this.core.handle(message, this.nowMs));
-        const waitingAfter = this.core.countWaiting() + this.core.countRunning();
-        if (message.type === "workEnded" && wasOpen && waitingAfter < waitingBefore) {
+        const openAfter = this.core.countWaiting() + this.core.countRunning();
+        if (message.type === "workEnded" && wasOpen && openAfter < openBefore) {
             this.addOutcome(message.requestId, "ended");
         }
     }
 
-    /** Notes which attempts the router may take as over after a message. */
+    /** Marks the attempts that the router may treat as ended after a message. */
     private recordReleases(message: RouterMessage): void {
         for (const attempt of this.attempts) {
             const isIdempotent = this.idempotentIds.has(attempt.requestId);
@@ -236,10 +241,10 @@
                 message.attempt === attempt.attempt &&
                 message.requestId === attempt.requestId
             ) {
-                const isNotRun =
+                const isNotExecuted =
                     message.type === "workWithdrawn" ||
                     (message.type === "workRefused" && message.refusal.execution === "not-run");
-                attempt.released ||= isNotRun || (message.type === "workFailed" && isIdempotent);
+                attempt.released ||= isNotExecuted || (message.type === "workFailed" && isIdempotent);
             }
         }
     }
@@ -255,21 +260,24 @@
         if (effect.type === "refuse") {
             this.addOutcome(requestId, effect.refusal.execution);
             if (effect.refusal.execution === "not-run") {
-                check(!this.runs.has(requestId), `${requestId} ran and was refused as not run`);
+                check(!this.runs.has(requestId), `${requestId} ran and was refused as not executed`);
             }
             return;
         }
         const earlier = this.attempts.filter(attempt => attempt.requestId === requestId);
         if (effect.type === "sendWork") {
-            const held = earlier.filter(attempt => !attempt.released).map(attempt => attempt.agentId);
-            check(held.length === 0, `${requestId} sent to ${effect.agentId} while ${held.join()} may hold it`);
+            const holders = earlier.filter(attempt => !attempt.released).map(attempt => attempt.agentId);
+            check(
+                holders.length === 0,
+                `${requestId} sent to ${effect.agentId} while ${holders.join()} may still hold it`,
+            );
             const { agentId, attempt: number } = effect;
-            const attempt: Attempt = { requestId, agentId, attempt: number, place: "travelling", released: false };
+            const attempt: Attempt = { requestId, agentId, attempt: number, status: "inTransit", released: false };
             this.attempts.push(attempt);
             this.toAgents.push({ type: "offer", attempt });
             return;
         }
-        const attempt = earlier.filter(candidate => candidate.agentId === effect.agentId).at(-1);
+        const attempt = earlier.filter(other => other.agentId === effect.agentId).at(-1);
         if (attempt !== undefined) {
             this.toAgents.push({ type: effect.type === "withdrawWork" ? "withdraw" : "cancel", attempt });
         }
@@ -282,7 +290,7 @@
         if (event.kind === "request-retried") {
             this.retryTimes.push(this.nowMs);
             const recent = this.retryTimes.filter(atMs => atMs > this.nowMs - 9_000).length;
-            check(recent <= minRetriesPerRouter, "more retries than the budget allows");
+            check(recent <= minRetriesPerRouter, "more retries within 9 s than the budget allows");
         }
     }
 
@@ -290,20 +298,20 @@
         this.outcomes.get(requestId)?.push(outcome);
     }
 
-    private listAt(place: Attempt["place"]): readonly Attempt[] {
-        return this.attempts.filter(attempt => attempt.place === place);
+    private listByStatus(status: Attempt["status"]): readonly Attempt[] {
+        return this.attempts.filter(attempt => attempt.status === status);
     }
 
-    private listOpen(): readonly Attempt[] {
-        return this.attempts.filter(attempt => attempt.place !== "over");
+    private listOpenAttempts(): readonly Attempt[] {
+        return this.attempts.filter(attempt => attempt.status !== "ended");
     }
 }
 
 const maxWaiting = 12;
-/** Runs are shorter than a hundred first tries, so that the budget's floor is the whole budget. */
+/** Runs have fewer than a hundred first attempts, so that the minimum is the whole retry budget. */
 const minRetriesPerRouter = 10;
 
-function createAnswer({ requestId, agentId, attempt }: Attempt): Pick<Attempt, "requestId" | "agentId" | "attempt"> {
+function getAttemptIds({ requestId, agentId, attempt }: Attempt): Pick<Attempt, "requestId" | "agentId" | "attempt"> {
     return { requestId, agentId, attempt };
 }
 
@@ -311,8 +319,8 @@
     return list[pick % Math.max(1, list.length)];
 }
 
-function check(holds: boolean, message: string): void {
-    if (!holds) {
+function check(condition: boolean, message: string): void {
+    if (!condition) {
         throw new Error(message);
     }
 }
--- a/test/fleet/rosterState.test.ts
+++ b/test/fleet/rosterState.test.ts
@@ -38,15 +38,15 @@
 
 describe("RosterState", () => {
     it("keeps a stopped daemon out when its delayed registration arrives", () => {
-        // A daemon's first registration is held up on its way; it tries again, runs and stops in order. Then the first
-        // one lands. Were it taken, keys would go to a home that nobody runs, and their callers would get no answer.
+        // A daemon's first registration is delayed; the daemon retries, runs and stops normally. Then the first record
+        // reaches the log. If it were applied, keys would go to a stopped owner and callers would get no response.
         const state = new RosterState(computeRosterTimes(retentionMs));
         expect(applyAll(state, [buildRegister("a", 1, -1), buildLeave("a", 1), buildRegister("a", 1, -1)])).toBe("");
         expect(applyAll(state, [buildRegister("a", 2, 2)], 3)).toBe("a/2@3");
         expect(applyAll(state, [buildRegister("a", 1, 3), buildLeave("a", 1)], 4)).toBe("a/2@3");
     });
 
-    it("lets an eviction pass that is older than the registration", () => {
+    it("ignores an eviction of an earlier registration", () => {
         const state = new RosterState(computeRosterTimes(retentionMs));
         const evicted = [buildRegister("a", 1, -1), buildLeave("a", 1, 0), buildRegister("a", 1, 1)];
         expect(applyAll(state, [...evicted, buildLeave("a", 1, 0)])).toBe("a/1@2");
@@ -58,12 +58,12 @@
         expect([state.hasServedBefore("chat", 0), state.hasServedBefore("chat", 1)]).toEqual([false, true]);
     });
 
-    it("keeps the services that a process registered last when an earlier record lands late", () => {
-        // An agent registers before it knows its services; the answer is lost and the record is on its way. It
-        // registers anew with its services, and then the old record lands. Routers would send it nothing any more.
+    it("keeps the services that a process registered last when an earlier record arrives late", () => {
+        // An agent registers before its services are determined; the reply is lost and the record delayed. The agent
+        // registers again with its services, then the old record arrives. Applied, it would stop routers from using it.
         const state = new RosterState(computeRosterTimes(retentionMs));
-        const bare = buildRegister("a", 1, -1) as { entry: object };
-        const late = { ...bare, entry: { ...bare.entry, services: [] } };
+        const withoutServices = buildRegister("a", 1, -1) as { entry: object };
+        const late = { ...withoutServices, entry: { ...withoutServices.entry, services: [] } };
         applyAll(state, [late, buildRegister("a", 1, 0), late]);
         expect(state.members.get("a")?.entry.services).toEqual(["chat"]);
         expect(state.memberships.map(span => [span.registration, span.fromOffset, span.entry.services])).toEqual([
@@ -72,9 +72,9 @@
         ]);
     });
 
-    it("keeps the members over an outage that outlasts their lifetime", () => {
-        // The log is down for an hour. The first daemon to come back renews; the others are alive and follow within
-        // seconds. Dropping them at that record would move every key to another home.
+    it("keeps the members during an outage of the log that is longer than their lifetime", () => {
+        // The log is unavailable for an hour. The first daemon that reconnects renews; the others are running and renew
+        // within seconds. Dropping them at the first renewal would move every key to another owner.
         const state = new RosterState(computeRosterTimes(retentionMs));
         applyAll(state, [buildRegister("a", 1, -1), buildRegister("b", 1, 0)]);
         const renewal = { offset: 2, appendedAtMs: 3_600_000, value: buildRegister("a", 1, 1, 0) };
@@ -82,7 +82,7 @@
         expect(formatMembers(state.members.values())).toBe("a/1@0 b/1@1");
     });
 
-    it("has the same members for a reader without state as for one that saw everything", () => {
+    it("has the same members for a reader without state as for one that has read all records", () => {
         const step = fc.record({
             daemon: fc.integer({ min: 0, max: 3 }),
             kind: fc.constantFrom("restart", "stop", "wait", "wait", "wait", "crash", "crash", "evict"),
@@ -113,20 +113,20 @@
                             register(other, incarnation);
                         }
                     }
-                    const own = running.get(name);
+                    const runningDaemon = running.get(name);
                     if (kind === "restart") {
                         register(name, index + 1);
                     } else if (kind === "crash") {
                         running.delete(name);
-                    } else if (kind === "stop" && own !== undefined) {
+                    } else if (kind === "stop" && runningDaemon !== undefined) {
                         running.delete(name);
-                        streams.append("roster", buildLeave(name, own.incarnation));
+                        streams.append("roster", buildLeave(name, runningDaemon.incarnation));
                     } else if (kind === "evict" && full.members.has(name)) {
                         const { entry, registration } = full.members.get(name)!;
                         running.delete(name);
                         streams.append("roster", buildLeave(name, entry.incarnation, registration));
                     }
-                    // One daemon that never fails keeps the log alive, as a fleet does.
+                    // One daemon that never fails appends records regularly, as a real fleet does.
                     register("steady", 1);
                     if (index % 4 !== 0) {
                         return;
--- a/test/fleet/watchers.test.ts
+++ b/test/fleet/watchers.test.ts
@@ -18,7 +18,7 @@
 
 afterEach(() => disposables.splice(0).forEach(disposable => disposable.dispose()));
 
-/** Lets pending work go on until the condition holds. */
+/** Runs pending asynchronous work until the condition holds. */
 async function waitUntil(condition: () => boolean): Promise<void> {
     for (let round = 0; round < 2_000; round++) {
         if (condition()) {
@@ -26,7 +26,7 @@
         }
         await new Promise(resolve => setImmediate(resolve));
     }
-    throw new Error("the condition never held");
+    throw new Error("condition not met within 2,000 rounds of the event loop");
 }
 
 function buildFleet(): { clock: ManualClock; streams: Streams; log: MemoryLogService } {
@@ -81,9 +81,9 @@
 }
 
 describe("DocumentWatcher", () => {
-    it("runs on a peer's document while the log is down and never goes back", async () => {
-        // A daemon restarts while the log is down and would refuse every caller without a document. A peer gives it
-        // one; an older one from a slower peer comes after it. When the log is back, a newer change counts.
+    it("uses a peer's document while the log is unavailable and never reverts to an older one", async () => {
+        // A daemon that restarts while the log is unavailable would refuse all requests without a document. It receives
+        // one from a peer, then an older one from another peer. Once the log is available, a newer change applies.
         const fleet = buildFleet();
         const peer = startDocumentWatcher(fleet, 1);
         appendChange(fleet, -1, 1);
@@ -91,20 +91,20 @@
         await waitUntil(() => peer.current?.offset === 1);
         fleet.log.isDown = true;
         const restarted = startDocumentWatcher(fleet, 2);
-        const seen: number[] = [];
-        restarted.onDidAccept(accepted => seen.push(accepted.offset));
+        const acceptedOffsets: number[] = [];
+        restarted.onDidAccept(accepted => acceptedOffsets.push(accepted.offset));
         restarted.applyPeerDocument(peer.buildPeerDocument()!);
         restarted.applyPeerDocument({ offset: 0, document: buildDocument(1) });
         fleet.log.isDown = false;
         appendChange(fleet, 1, 3);
         await waitUntil(() => restarted.current?.offset === 2);
-        expect(seen).toEqual([1, 2]);
+        expect(acceptedOffsets).toEqual([1, 2]);
         expect(restarted.current?.document.clientAccounts.club.weight).toBe(3);
     });
 
-    it("keeps a document alive that is older than the log's retention", async () => {
-        // Nobody changes the document for weeks, so its change falls out of the log. A daemon that restarts then would
-        // find an empty stream and serve nobody. The daemons write snapshots in time, and few of them.
+    it("preserves a document that is older than the log's retention", async () => {
+        // If the document does not change for weeks, its change expires from the log. A daemon that restarts then would
+        // read an empty stream and refuse all requests. The daemons write snapshots in time, and only a few.
         const fleet = buildFleet();
         fleet.log.appendDelayTurns = 5;
         const watchers = [1, 2, 3, 4, 5].map(seed => startDocumentWatcher(fleet, seed));
@@ -117,19 +117,19 @@
             for (let turn = 0; turn < 2 * fleet.log.appendDelayTurns; turn++) {
                 await new Promise(resolve => setImmediate(resolve));
             }
-            const late = new DocumentState();
-            late.applyPage(fleet.streams.read(`document-${environment}`, 0, 1_000));
-            expect([step, late.basis, late.accepted?.document.clientAccounts.club.weight]).toEqual([step, 0, 7]);
+            const fresh = new DocumentState();
+            fresh.applyPage(fleet.streams.read(`document-${environment}`, 0, 1_000));
+            expect([step, fresh.basis, fresh.accepted?.document.clientAccounts.club.weight]).toEqual([step, 0, 7]);
         }
         const { firstOffset, endOffset } = fleet.streams.read(`document-${environment}`, 0, 1);
         expect(firstOffset).toBeGreaterThan(0);
-        // Due every quarter of the retention: 20 times in this span; five daemons must not write five times as many.
+        // A snapshot is due every quarter of the retention, 20 times in this test; five daemons must not write 100.
         expect(endOffset - 1).toBeLessThan(40);
     });
 });
 
 describe("Registrar", () => {
-    it("registers once known whatever happens to the answers, and renews in time", async () => {
+    it("keeps one registration though appends fail or replies are lost, and renews in time", async () => {
         const fleet = buildFleet();
         fleet.log.appendFaults = ["down", "lose-answer"];
         const { registrar } = startRegistrar(fleet, 1);
@@ -139,15 +139,15 @@
         await waitUntil(() => listRoster(fleet).length >= 3);
         await waitUntil(() => registrar.isConfirmedWithin(1_000));
         expect(registrar.registration).toBe(0);
-        // Whether the second record says that it renews depends on whether the first was read before it; both renew.
+        // The second record names the first registration only if that was read before; it is a renewal either way.
         const records = listRoster(fleet);
         expect(records.map(record => record.split(" ")[1])).toEqual(["register", "register", "register"]);
         expect([records[0], records[2]]).toEqual(["0 register new", "2 register 0"]);
     });
 
-    it("loses its lease when the log is silent or another daemon evicts it, and registers anew", async () => {
-        // A home of keys is cut off from the log; the others evict it and its keys get another home. If it went on
-        // serving its range, one key could run at both. Its confirmation must run out without any message.
+    it("loses its lease when the log is unavailable or another daemon evicts it, and registers again", async () => {
+        // A key owner loses its connection to the log; the others evict it and its keys get another owner. If it kept
+        // serving its range, one key could run at both. Its confirmation must expire without receiving any message.
         const fleet = buildFleet();
         const { registrar, watcher } = startRegistrar(fleet, 1);
         await waitUntil(() => registrar.isConfirmedWithin(10_000));
@@ -168,7 +168,7 @@
         `);
     });
 
-    it("stays out when a newer process has its name", async () => {
+    it("does not register again when a newer process has registered with its id", async () => {
         const fleet = buildFleet();
         const old = startRegistrar(fleet, 1);
         await waitUntil(() => old.registrar.registration === 0);
@@ -184,13 +184,13 @@
         ]);
     });
 
-    it("leaves the roster though the answer is lost", async () => {
+    it("leaves the roster although the reply is lost", async () => {
         const fleet = buildFleet();
         const { registrar, watcher } = startRegistrar(fleet, 1);
         await waitUntil(() => registrar.registration === 0);
         fleet.log.appendFaults = ["down", "lose-answer"];
-        const left = await registrar.removeSelf(new CancellationTokenSource().token);
-        expect(left.isOk()).toBe(true);
+        const removed = await registrar.removeSelf(new CancellationTokenSource().token);
+        expect(removed.isOk()).toBe(true);
         await waitUntil(() => watcher.members.size === 0);
         expect(registrar.isConfirmedWithin(10_000)).toBe(false);
     });
