--- a/src/fleet/agentMessages.ts
+++ b/src/fleet/agentMessages.ts
@@ -19,7 +19,7 @@
     | {
           readonly type: "withdrawRequested";
           readonly requestId: string;
-          /** Incarnation that the request was sent to, if known; another one cannot confirm that it never started. */
+          /** Incarnation that received the request, if known; no other can confirm that the request never started. */
           readonly incarnation?: number;
       }
     /** The router's connection closed, or the caller disconnected. */
@@ -35,7 +35,7 @@
           /** Token counts as reported by the target, otherwise as observed in the response. */
           readonly promptTokens: number;
           readonly generatedTokens: number;
-          /** How long a target that refused the request asked for no further requests; milliseconds. */
+          /** Pause requested by a target that refused the request; milliseconds. */
           readonly pauseMs?: number;
       }
     /** State reported by the target itself; it may be out of date. */
--- a/src/fleet/entities.ts
+++ b/src/fleet/entities.ts
@@ -4,7 +4,10 @@
 /** Expected length of a request. Long requests may not occupy all slots of a target, so that short ones can run. */
 export type WorkClass = "short" | "long";
 
-/** A request's metadata as processed by the cores, without body. Times: monotonic clock of the holding process, ms. */
+/**
+ * A request's metadata as processed by the cores; the body is not included. Times are in milliseconds on the monotonic
+ * clock of the process that holds the request.
+ */
 export interface WorkRequest {
     readonly id: string;
     readonly clientAccount: string;
@@ -29,7 +32,7 @@
 export interface AgentIdentity {
     /** The daemon's id; stable across restarts. */
     readonly agentId: string;
-    /** Number of the process start; increases with each restart. */
+    /** Identifies the process start; increases with each restart. */
     readonly incarnation: number;
     readonly targetName: string;
     readonly dataCentre: string;
--- a/src/fleet/registrar.ts
+++ b/src/fleet/registrar.ts
@@ -84,7 +84,7 @@
         this.running ??= this.run();
     }
 
-    /** Removes this daemon from the roster; retries until the log confirms it or the token is cancelled (an error). */
+    /** Removes this daemon from the roster; retries until it succeeds, and fails if the token is cancelled first. */
     public removeSelf(token: CancellationToken): ResultAsync<void, PlatformError> {
         const { daemonId, incarnation } = this.options.entry;
         const by = daemonId;
--- a/src/fleet/vmWatcher.ts
+++ b/src/fleet/vmWatcher.ts
@@ -48,11 +48,11 @@
 
     private async run(): Promise<void> {
         const { vms, scheduler, random, periodMs } = this.options;
-        const result = await vms.list(this.cancellation.token);
+        const list = await vms.list(this.cancellation.token);
         if (this.cancellation.token.isCancelled) {
             return;
         }
-        result.map(value => {
+        list.map(value => {
             this.vmCount = value.length;
             this.readEmitter.fire(value);
         });
--- a/test/fleet/evictor.test.ts
+++ b/test/fleet/evictor.test.ts
@@ -17,7 +17,8 @@
 
 describe("Evictor", () => {
     // A replaced VM stops responding and later disappears from the platform's list. Until another agent owns its keys,
-    // their callers receive "key unknown". Evicting on one sign alone, or at once, would cause that on each network failure.
+    // their callers receive "key unknown". If one sign alone sufficed, or eviction were immediate, that would happen on
+    // every network failure.
     it("evicts a daemon only after it was both unresponsive and unlisted for the whole period", () => {
         const clock = new ManualClock();
         const evictor = new Evictor(clock);
--- a/test/fleet/fakeFleet.ts
+++ b/test/fleet/fakeFleet.ts
@@ -277,7 +277,7 @@
             this.toAgents.push({ type: "offer", attempt });
             return;
         }
-        const attempt = earlier.filter(other => other.agentId === effect.agentId).at(-1);
+        const attempt = earlier.filter(candidate => candidate.agentId === effect.agentId).at(-1);
         if (attempt !== undefined) {
             this.toAgents.push({ type: effect.type === "withdrawWork" ? "withdraw" : "cancel", attempt });
         }
