--- a/deploy/router.ts
+++ b/deploy/router.ts
@@ -9,7 +9,7 @@
 import { LoadMonitor } from "../src/gateway/loadMonitor.js";
 import { SettingsWatcher } from "../src/gateway/settingsWatcher.js";
 import { parseGatewaySettings, type GatewaySettings } from "../src/gateway/settings.js";
-import { EngineLists } from "../platform/engineLists.js";
+import { HttpEngineInspector } from "../platform/httpEngineInspector.js";
 import { PlatformHeaders } from "../platform/headers.js";
 import { readinessPath, settingsPathVariable } from "../platform/settingsFile.js";
 import { StoreClient } from "../platform/storeClient.js";
@@ -78,7 +78,7 @@
         heartbeatMs,
     });
     const codec = new PlatformHeaders();
-    const engines = new EngineLists(clock);
+    const engines = new HttpEngineInspector(clock);
     const load = new LoadMonitor(clock, logger);
     const daemon = new GatewayDaemon({ settings, clock, random, logger, codec, source, engines, load, readinessPath });
     process.on("SIGTERM", () => {
--- a/scripts/measuredRouter.ts
+++ b/scripts/measuredRouter.ts
@@ -1,7 +1,7 @@
 /** A router that sheds a given part of its requests whatever its load, for measureGateway.ts. */
 import { readFileSync } from "node:fs";
 import sade from "sade";
-import { EngineLists } from "../platform/engineLists.js";
+import { HttpEngineInspector } from "../platform/httpEngineInspector.js";
 import { PlatformHeaders } from "../platform/headers.js";
 import { StoreClient } from "../platform/storeClient.js";
 import { StoreFeed } from "../platform/storeFeed.js";
@@ -47,7 +47,7 @@
             applyMs,
             heartbeatMs,
         }),
-        engines: new EngineLists(clock),
+        engines: new HttpEngineInspector(clock),
         load: {
             shedShare: shed,
             shouldLeaveBalancer: false,
--- a/src/daemon/agentDaemon.ts
+++ b/src/daemon/agentDaemon.ts
@@ -17,7 +17,7 @@
 import type { AcceptedDocument } from "../document/schema.js";
 import { AgentCore, defaultAgentOptions } from "../fleet/agent/agentCore.js";
 import type { AgentMessage } from "../fleet/agentMessages.js";
-import { HomeAuthority } from "../fleet/keys/homeAuthority.js";
+import { KeyOwnerAuthority } from "../fleet/keys/keyOwnerAuthority.js";
 import { verifyIssuedKey } from "../fleet/keys/issuedKey.js";
 import { defaultKeyTableLimits, KeyTable } from "../fleet/keys/keyTable.js";
 import { defaultKeyTiming } from "../fleet/keys/keyTiming.js";
@@ -46,7 +46,7 @@
     private readonly core: AgentCore;
     private readonly service: AgentService;
     private readonly keyed: KeyedWork;
-    private readonly authority: HomeAuthority;
+    private readonly authority: KeyOwnerAuthority;
     private readonly orders: OrderService;
     private listener: HttpListener | undefined;
 
@@ -72,7 +72,7 @@
         this.service = this.store.add(
             new AgentService({ core: this.core, target, documents, events, clock, scheduler, logger, metrics }),
         );
-        this.authority = new HomeAuthority({ agentId: daemonId, incarnation }, parts.secret, defaultKeyTiming);
+        this.authority = new KeyOwnerAuthority({ agentId: daemonId, incarnation }, parts.secret, defaultKeyTiming);
         const table = new KeyTable(this.authority, defaultKeyTableLimits);
         this.keyed = this.store.add(
             new KeyedWork({
--- a/src/fleet/agent/agentContext.ts
+++ b/src/fleet/agent/agentContext.ts
@@ -13,7 +13,7 @@
 import type { EventRecorder, FleetEventInput } from "../../events/fleetEvent.js";
 import type { AgentEffect } from "../agentMessages.js";
 import type { AgentIdentity, AgentPhase, Refusal, WorkRequest } from "../entities.js";
-import { startedIdsKeptForMs, withdrawnIdsKeptForMs, type AgentOptions } from "./agentOptions.js";
+import { startedIdRetentionMs, withdrawnIdRetentionMs, type AgentOptions } from "./agentOptions.js";
 import { AgentTables, type QueuedWork, type ServiceRow } from "./tables.js";
 
 /** What the systems of an agent's core share: its tables, its decisions, and the effects of this step. */
@@ -41,9 +41,9 @@
     public nextSequence: number;
     public startCount = 0;
     /** Smoothed time between two exchanges with one router; milliseconds. Undefined before two have come. */
-    public newsPeriodMs: number | undefined;
+    public exchangePeriodMs: number | undefined;
     /** When each router's exchange came last. */
-    public readonly newsAtMs = new Map<string, number>();
+    public readonly lastExchangeAtMsByRouter = new Map<string, number>();
     /** When an exchange last came from any router; undefined before the first. */
     public lastExchangeAtMs: number | undefined;
     /** When calls of plain services were last charged for their time. */
@@ -60,8 +60,8 @@
     ) {
         this.nextSequence = identity.incarnation;
         this.circuit = new CircuitBreaker(random);
-        this.started = new RecentIds({ retentionMs: startedIdsKeptForMs, maxIds: options.maxStartedIds });
-        this.withdrawn = new RecentIds({ retentionMs: withdrawnIdsKeptForMs, maxIds: options.maxWithdrawnIds });
+        this.started = new RecentIds({ retentionMs: startedIdRetentionMs, maxIds: options.maxStartedIds });
+        this.withdrawn = new RecentIds({ retentionMs: withdrawnIdRetentionMs, maxIds: options.maxWithdrawnIds });
     }
 
     /** Adds an effect to this step's. */
@@ -108,7 +108,7 @@
             ledger: new ServiceLedger(),
             cap: new CatchUpCap(),
             running: 0,
-            lastStart: 0,
+            lastStartNumber: 0,
             msPerCost: undefined,
         };
         this.tables.services.set(service, row);
--- a/src/fleet/agent/agentOptions.ts
+++ b/src/fleet/agent/agentOptions.ts
@@ -25,7 +25,7 @@
 };
 
 /** A started request is remembered for the longest deadline a document may set, since routers ask until then. */
-export const startedIdsKeptForMs = 3_600_000;
+export const startedIdRetentionMs = 3_600_000;
 
 /** An offer that was overtaken by its withdrawal arrives within this time or its connection has failed. */
-export const withdrawnIdsKeptForMs = 60_000;
+export const withdrawnIdRetentionMs = 60_000;
--- a/src/fleet/agent/chargeSystem.ts
+++ b/src/fleet/agent/chargeSystem.ts
@@ -37,7 +37,7 @@
 }
 
 /** The final count of a request that ended. */
-export interface FinalCount {
+export interface RunResult {
     readonly outcome: RunOutcome;
     readonly promptTokens: number;
     readonly generatedTokens: number;
@@ -45,7 +45,7 @@
 }
 
 /** Corrects the charge of an ended request to what it did cost, and learns from it. */
-export function chargeFinal(context: AgentContext, work: RunningWork, final: FinalCount, nowMs: number): number {
+export function chargeFinal(context: AgentContext, work: RunningWork, final: RunResult, nowMs: number): number {
     const { request } = work;
     const row = context.getRow(request.service);
     const elapsedMs = nowMs - work.startedAtMs;
@@ -64,7 +64,7 @@
     return cost;
 }
 
-function computeFinalCost(work: RunningWork, final: FinalCount, elapsedMs: number): number {
+function computeFinalCost(work: RunningWork, final: RunResult, elapsedMs: number): number {
     if (final.outcome === "refused-by-target") {
         return 0;
     }
--- a/src/fleet/agent/claimSystem.ts
+++ b/src/fleet/agent/claimSystem.ts
@@ -34,7 +34,7 @@
 
 /** Counts charges that others have probably made since their last news. */
 export function advanceHorizons(context: AgentContext, nowMs: number): void {
-    const horizonMs = Math.max(leastHorizonMs, context.newsPeriodMs ?? usualPeriodMs);
+    const horizonMs = Math.max(leastHorizonMs, context.exchangePeriodMs ?? usualPeriodMs);
     for (const row of context.tables.services.values()) {
         if (row.queue.size > 0 && row.ledger.advanceHorizon(nowMs, horizonMs)) {
             row.queue.listAccounts().forEach(clientAccount => context.updateQueue(row, clientAccount));
@@ -43,15 +43,15 @@
 }
 
 function observePeriod(context: AgentContext, routerId: string, nowMs: number): void {
-    const before = context.newsAtMs.get(routerId);
+    const before = context.lastExchangeAtMsByRouter.get(routerId);
     // Routers come and go under new names.
-    if (context.newsAtMs.size >= mostRouters) {
-        context.newsAtMs.clear();
+    if (context.lastExchangeAtMsByRouter.size >= mostRouters) {
+        context.lastExchangeAtMsByRouter.clear();
     }
-    context.newsAtMs.set(routerId, nowMs);
+    context.lastExchangeAtMsByRouter.set(routerId, nowMs);
     if (before !== undefined) {
         const periodMs = Math.min(greatestHorizonMs, nowMs - before);
-        const smoothed = context.newsPeriodMs ?? periodMs;
-        context.newsPeriodMs = smoothed + smoothing * (periodMs - smoothed);
+        const smoothed = context.exchangePeriodMs ?? periodMs;
+        context.exchangePeriodMs = smoothed + smoothing * (periodMs - smoothed);
     }
 }
--- a/src/fleet/agent/runSystem.ts
+++ b/src/fleet/agent/runSystem.ts
@@ -1,5 +1,5 @@
 import type { AgentContext } from "./agentContext.js";
-import { chargeFinal, type FinalCount } from "./chargeSystem.js";
+import { chargeFinal, type RunResult } from "./chargeSystem.js";
 import type { RunOutcome } from "../agentMessages.js";
 import type { Execution } from "../entities.js";
 import type { RunningWork } from "./tables.js";
@@ -35,7 +35,7 @@
 };
 
 /** Frees the slot of a run that ended and settles its cost. */
-export function receiveEnd(context: AgentContext, requestId: string, final: FinalCount, nowMs: number): void {
+export function receiveEnd(context: AgentContext, requestId: string, final: RunResult, nowMs: number): void {
     const work = context.tables.running.get(requestId);
     if (work === undefined) {
         return;
@@ -105,7 +105,7 @@
     context.tables.clearAwaitingOutput();
 }
 
-function observeOutcome(context: AgentContext, work: RunningWork, final: FinalCount, nowMs: number): void {
+function observeOutcome(context: AgentContext, work: RunningWork, final: RunResult, nowMs: number): void {
     const { id } = work.request;
     if (final.outcome === "completed") {
         context.circuit.observeSuccess();
--- a/src/fleet/agent/startSystem.ts
+++ b/src/fleet/agent/startSystem.ts
@@ -57,7 +57,7 @@
         const isBefore =
             chosen === undefined ||
             row.running < chosen.running ||
-            (row.running === chosen.running && row.lastStart < chosen.lastStart);
+            (row.running === chosen.running && row.lastStartNumber < chosen.lastStartNumber);
         if (isBefore) {
             chosen = row;
         }
@@ -93,7 +93,7 @@
     row.cap.observeCost(charge / weight, nowMs);
     context.updateQueue(row, clientAccount);
     context.startCount += 1;
-    tables.services.set(row.service, { ...row, lastStart: context.startCount });
+    tables.services.set(row.service, { ...row, lastStartNumber: context.startCount });
     const running: RunningWork = {
         request,
         workClass,
--- a/src/fleet/agent/tables.ts
+++ b/src/fleet/agent/tables.ts
@@ -38,7 +38,7 @@
     readonly cap: CatchUpCap;
     readonly running: number;
     /** Number of the last start, for taking turns between services. */
-    readonly lastStart: number;
+    readonly lastStartNumber: number;
     /** Smoothed time per unit of cost in one slot; milliseconds. */
     readonly msPerCost: number | undefined;
 }
--- a/src/fleet/keys/keyHome.ts
+++ b/src/fleet/keys/keyOwner.ts
@@ -12,7 +12,7 @@
 }
 
 /** The agent to which every use of a key goes. */
-export interface KeyHome {
+export interface KeyOwner {
     readonly agentId: string;
     /** Set for issued keys: no other incarnation may run it. */
     readonly incarnation: number | undefined;
@@ -23,11 +23,11 @@
  * an old view asks the wrong agent, which refuses and names the right one.
  * Errors: the answer to give to the caller.
  */
-export function findKeyHome(
+export function findKeyOwner(
     use: Pick<KeyUse, "clientAccount" | "service" | "key">,
     agents: readonly RosterAgent[],
     secret: string,
-): Result<KeyHome, Refusal> {
+): Result<KeyOwner, Refusal> {
     return isIssuedKey(use.key) ? findIssuedHome(use, agents, secret) : findChosenHome(use, agents);
 }
 
@@ -35,7 +35,7 @@
     use: Pick<KeyUse, "clientAccount" | "service" | "key">,
     agents: readonly RosterAgent[],
     secret: string,
-): Result<KeyHome, Refusal> {
+): Result<KeyOwner, Refusal> {
     return verifyIssuedKey(secret, use.key)
         .mapErr(error => createRefusal(error.message))
         .andThen(({ agentId, incarnation }) => {
@@ -50,7 +50,7 @@
 function findChosenHome(
     use: Pick<KeyUse, "clientAccount" | "service" | "key">,
     agents: readonly RosterAgent[],
-): Result<KeyHome, Refusal> {
+): Result<KeyOwner, Refusal> {
     const serving = agents.filter(agent => agent.services.includes(use.service));
     const [home] = orderByRendezvous(hashKey(use), serving, agent => agent.daemonId);
     if (home === undefined) {
--- a/src/fleet/keys/homeAuthority.ts
+++ b/src/fleet/keys/keyOwnerAuthority.ts
@@ -2,12 +2,12 @@
 import { isIssuedKey, verifyIssuedKey } from "./issuedKey.js";
 import type { Instant, KeyTiming } from "./keyTiming.js";
 import { hashKey, readKeyTime, type KeyUse } from "./keyUse.js";
-import { findStanding, orderHomes, type RosterHistory, type Tenure } from "./rosterHistory.js";
+import { findCurrentTenure, orderOwners, type RosterHistory, type Tenure } from "./rosterHistory.js";
 import { SteadyWallClock } from "./steadyWallClock.js";
-import { hasTakenOver } from "./takeover.js";
+import { canHaveStartedBefore } from "./takeover.js";
 
 /** What a home knows of a key that is not in its table. */
-export type KeyStanding =
+export type KeyStatus =
     /** No process has started it, and none but this one can. */
     | { readonly type: "new" }
     /** It may not start here. */
@@ -20,7 +20,7 @@
 
 /** Checks a key that is not in the table, at this very moment. */
 export interface KeyAuthority {
-    check(use: KeyUse, at: Instant): KeyStanding;
+    check(use: KeyUse, at: Instant): KeyStatus;
 }
 
 interface Confirmation {
@@ -35,7 +35,7 @@
  * Caller-chosen keys: the home by rendezvous hash, while a read of the log is younger than the lease, and only if no
  * earlier home can have started the key.
  */
-export class HomeAuthority implements KeyAuthority {
+export class KeyOwnerAuthority implements KeyAuthority {
     private readonly wallClock = new SteadyWallClock();
     private confirmation: Confirmation | undefined;
     /** The own tenure, and the end of the first read that showed it. */
@@ -64,12 +64,12 @@
         }
     }
 
-    public check(use: KeyUse, at: Instant): KeyStanding {
+    public check(use: KeyUse, at: Instant): KeyStatus {
         const wallMs = this.wallClock.read(at);
         return isIssuedKey(use.key) ? this.checkIssued(use, wallMs) : this.checkChosen(use, at, wallMs);
     }
 
-    private checkIssued(use: KeyUse, wallMs: number): KeyStanding {
+    private checkIssued(use: KeyUse, wallMs: number): KeyStatus {
         const verified = verifyIssuedKey(this.secret, use.key);
         if (verified.isErr()) {
             // Not `not-run`: the key may have been signed and used before the secret was replaced.
@@ -86,11 +86,12 @@
             return refuseUnknown("The process that could tell whether the key was used is gone.");
         }
         const isLive = wallMs < claims.expiresAtMs;
-        const isWithinLifetime = claims.expiresAtMs <= wallMs + this.timing.issuedLifetimeMs + this.timing.clockBoundMs;
+        const isWithinLifetime =
+            claims.expiresAtMs <= wallMs + this.timing.issuedLifetimeMs + this.timing.maxClockSkewMs;
         return isLive && isWithinLifetime ? { type: "new" } : refuseUnknown("The key has expired.");
     }
 
-    private checkChosen(use: KeyUse, at: Instant, wallMs: number): KeyStanding {
+    private checkChosen(use: KeyUse, at: Instant, wallMs: number): KeyStatus {
         const confirmation = this.confirmation;
         if (confirmation === undefined || !this.isYounger(confirmation.began, at, this.timing.leaseMs)) {
             return refuseUnknown(
@@ -103,12 +104,12 @@
             return refuseUnknown("The agent is not in the roster, or a later process has taken its place.");
         }
         const keyHash = hashKey(use);
-        const [home] = orderHomes(confirmation.history, use.service, keyHash);
+        const [home] = orderOwners(confirmation.history, use.service, keyHash);
         if (home?.agentId !== this.self.agentId) {
             return { ...refuseUnknown("Another agent is the home of the key."), homeAgentId: home?.agentId };
         }
         const keyTimeMs = readKeyTime(use.key);
-        const isNew = !hasTakenOver(
+        const isNew = !canHaveStartedBefore(
             confirmation.history,
             own,
             { service: use.service, keyHash, keyTimeMs },
@@ -126,7 +127,7 @@
      * A home that is settling is not counted as an earlier home, so whoever takes its place need not wait for its lease
      * to lapse: only for its own settling time. Nothing was run as long as the last read is younger than that.
      */
-    private refuseUnsettled(began: Instant, at: Instant, settleLeftMs: number): KeyStanding {
+    private refuseUnsettled(began: Instant, at: Instant, settleLeftMs: number): KeyStatus {
         const detail = "The agent has only just joined the roster.";
         const isYoung = this.isYounger(began, at, this.timing.settleMs - this.timing.logSlackMs);
         return isYoung ? refuseNotRun(detail, settleLeftMs) : refuseUnknown(detail, settleLeftMs);
@@ -149,15 +150,15 @@
     }
 
     private getOwnTenure(history: RosterHistory): Tenure | undefined {
-        const standing = findStanding(history, this.self.agentId);
+        const standing = findCurrentTenure(history, this.self.agentId);
         return standing?.incarnation === this.self.incarnation ? standing : undefined;
     }
 }
 
-function refuseUnknown(detail: string, retryAfterMs?: number): KeyStanding & { readonly type: "refused" } {
+function refuseUnknown(detail: string, retryAfterMs?: number): KeyStatus & { readonly type: "refused" } {
     return { type: "refused", refusal: { reason: "key-unknown", execution: "unknown", retryAfterMs, detail } };
 }
 
-function refuseNotRun(detail: string, retryAfterMs?: number): KeyStanding & { readonly type: "refused" } {
+function refuseNotRun(detail: string, retryAfterMs?: number): KeyStatus & { readonly type: "refused" } {
     return { type: "refused", refusal: { reason: "key-unknown", execution: "not-run", retryAfterMs, detail } };
 }
--- a/src/fleet/keys/keyTable.ts
+++ b/src/fleet/keys/keyTable.ts
@@ -1,5 +1,5 @@
 import type { Refusal } from "../entities.js";
-import type { KeyAuthority } from "./homeAuthority.js";
+import type { KeyAuthority } from "./keyOwnerAuthority.js";
 import { defaultKeyTiming, type Instant } from "./keyTiming.js";
 import { hashKey, type KeyUse } from "./keyUse.js";
 
@@ -42,7 +42,7 @@
     maxEntriesPerAccount: 5_000,
     maxAnswerBytes: 8_388_608,
     retentionMs: defaultKeyTiming.retentionMs,
-    delegationMs: defaultKeyTiming.issuedLifetimeMs + defaultKeyTiming.clockBoundMs,
+    delegationMs: defaultKeyTiming.issuedLifetimeMs + defaultKeyTiming.maxClockSkewMs,
 };
 
 type KeyState =
--- a/src/fleet/keys/keyTiming.ts
+++ b/src/fleet/keys/keyTiming.ts
@@ -3,7 +3,7 @@
     /** How long a home is the authority after a read of the log that still showed it as the home. */
     readonly leaseMs: number;
     /** Furthest apart that the wall clocks of callers, VMs and the platform may be. */
-    readonly clockBoundMs: number;
+    readonly maxClockSkewMs: number;
     /** How long a key is remembered after its run ended, and within which a caller may repeat it. */
     readonly retentionMs: number;
     /** How long after its registration a home starts no caller-chosen key, so that a whole fleet can start at once. */
@@ -17,7 +17,7 @@
 /** What the daemons use. */
 export const defaultKeyTiming: KeyTiming = {
     leaseMs: 10_000,
-    clockBoundMs: 30_000,
+    maxClockSkewMs: 30_000,
     retentionMs: 600_000,
     settleMs: 8_000,
     logSlackMs: 1_000,
--- a/src/fleet/keys/rosterHistory.ts
+++ b/src/fleet/keys/rosterHistory.ts
@@ -18,7 +18,7 @@
 }
 
 /** Standing agents that serve the service, by their rank for the key: the first is its home. */
-export function orderHomes(history: RosterHistory, service: string, keyHash: string): readonly Tenure[] {
+export function orderOwners(history: RosterHistory, service: string, keyHash: string): readonly Tenure[] {
     const serving = history.tenures.filter(
         tenure => tenure.endedAtMs === undefined && tenure.services.includes(service),
     );
@@ -26,6 +26,6 @@
 }
 
 /** The standing tenure of an agent. */
-export function findStanding(history: RosterHistory, agentId: string): Tenure | undefined {
+export function findCurrentTenure(history: RosterHistory, agentId: string): Tenure | undefined {
     return history.tenures.find(tenure => tenure.agentId === agentId && tenure.endedAtMs === undefined);
 }
--- a/src/fleet/keys/takeover.ts
+++ b/src/fleet/keys/takeover.ts
@@ -14,7 +14,7 @@
  * Whether the key may have been started by an earlier home, or by this one so long ago that it is forgotten.
  * `wallMs` is this process's steady wall clock.
  */
-export function hasTakenOver(
+export function canHaveStartedBefore(
     history: RosterHistory,
     own: Tenure,
     key: DatedKey,
@@ -22,7 +22,7 @@
     timing: KeyTiming,
 ): boolean {
     const endedAtMs = findPredecessorEnd(history, own, key, timing);
-    const { clockBoundMs, leaseMs, retentionMs } = timing;
+    const { maxClockSkewMs: clockBoundMs, leaseMs, retentionMs } = timing;
     const isDated = key.keyTimeMs !== undefined && key.keyTimeMs <= wallMs + clockBoundMs;
     if (isDated) {
         const madeAtMs = key.keyTimeMs ?? 0;
--- a/src/fleet/router/admitSystem.ts
+++ b/src/fleet/router/admitSystem.ts
@@ -1,7 +1,7 @@
 import { checkAdmission } from "../../decisions/admission/admission.js";
 import { computeAffinityHash } from "../../decisions/placement/placement.js";
 import type { WorkRequest } from "../entities.js";
-import type { CostGuess } from "./classify.js";
+import type { CostEstimator } from "./costEstimator.js";
 import type { RouterState } from "./state.js";
 import type { Lane, RequestEntry } from "./tables.js";
 
@@ -12,7 +12,7 @@
 export class AdmitSystem {
     public constructor(
         private readonly state: RouterState,
-        private readonly costs: CostGuess,
+        private readonly costs: CostEstimator,
     ) {}
 
     /** Takes a caller's request. A repeat of an id that is still open is ignored. */
@@ -134,7 +134,7 @@
         failures: 0,
         sentAtMs: 0,
         triedAgentIds: [],
-        withdrawFor: undefined,
+        withdrawReason: undefined,
         // A request with a key may be the repeat of one that ran through another router. Only the key's home can tell; a
         // "not-run" of this router's own would be taken for the key's, and the caller would do the call anew.
         execution: isKeyed(request) ? "unknown" : "not-run",
--- a/src/fleet/router/agentViewSystem.ts
+++ b/src/fleet/router/agentViewSystem.ts
@@ -38,7 +38,7 @@
         };
         this.update(entry, before, nowMs);
         if (entry.isAccepting) {
-            this.withdrawSystem.withdrawForRoom(entry, nowMs);
+            this.withdrawSystem.withdrawForCapacity(entry, nowMs);
             this.withdrawSystem.withdrawFromBusy(entry, nowMs);
         }
     }
--- a/src/fleet/router/classify.ts
+++ b/src/fleet/router/costEstimator.ts
@@ -8,7 +8,7 @@
  * Guesses a request's class from its prompt and what like requests cost. A wrong guess costs a place in the wrong queue and
  * nothing more, as the agent decides what starts.
  */
-export class CostGuess {
+export class CostEstimator {
     private readonly means = new Map<string, number>();
 
     /** The class that the service's `longFromCost` gives. */
--- a/src/fleet/router/expireSystem.ts
+++ b/src/fleet/router/expireSystem.ts
@@ -26,7 +26,7 @@
                     this.withdrawSystem.handleRepeat(timer.key, nowMs);
                     break;
                 case "backoff":
-                    this.retrySystem.handleBackoffOver(timer.key, nowMs);
+                    this.retrySystem.handleBackoffElapsed(timer.key, nowMs);
                     break;
                 case "no-target":
                     this.state.backlog.handleAllChanged();
@@ -62,7 +62,7 @@
             return;
         }
         this.withdrawSystem.withdraw(entry, "deadline", nowMs);
-        state.timers.set("answer-grace", requestId, nowMs + state.options.answerGraceMs);
+        state.timers.set("answer-grace", requestId, nowMs + state.options.replyGraceMs);
     }
 
     /** The agent neither gave the request back nor said that it started: nobody here can tell whether it ran. */
--- a/src/fleet/router/options.ts
+++ b/src/fleet/router/options.ts
@@ -12,7 +12,7 @@
     /** A withdraw that was not answered is asked again after this. */
     readonly withdrawRepeatMs: number;
     /** Past its deadline by this much without any answer from the agent, a request ends as unknown. */
-    readonly answerGraceMs: number;
+    readonly replyGraceMs: number;
     /** Requests sent in one tick; the rest follow in the next, so that no tick holds the process for long. */
     readonly maxSendsPerTick: number;
 }
@@ -23,6 +23,6 @@
     noTargetWaitMs: 2_000,
     moveHoldMs: 20,
     withdrawRepeatMs: 1_000,
-    answerGraceMs: 2_000,
+    replyGraceMs: 2_000,
     maxSendsPerTick: 256,
 };
--- a/src/fleet/router/retrySystem.ts
+++ b/src/fleet/router/retrySystem.ts
@@ -33,7 +33,7 @@
     public handleWithdrawn(entry: RequestEntry, nowMs: number): void {
         const { state } = this;
         state.recordRequest("request-withdrawn", entry, { value: entry.attempt });
-        if (entry.withdrawFor === "deadline") {
+        if (entry.withdrawReason === "deadline") {
             this.refuseLate(entry, nowMs);
         } else if (entry.lane.homeAgentId !== undefined) {
             const detail = "the key's home gave the request back";
@@ -44,7 +44,7 @@
     }
 
     /** The delay before a retry is over. */
-    public handleBackoffOver(requestId: string, nowMs: number): void {
+    public handleBackoffElapsed(requestId: string, nowMs: number): void {
         const entry = this.state.requests.get(requestId);
         if (entry?.stage === "delayed") {
             this.state.addToBacklog(entry, "first", nowMs);
@@ -103,7 +103,7 @@
             stage: "delayed",
             agentId: undefined,
             failures,
-            withdrawFor: undefined,
+            withdrawReason: undefined,
         };
         state.requests.set(delayed);
         const atMs = nowMs + computeBackoffMs(failures, state.random);
--- a/src/fleet/router/routerCore.ts
+++ b/src/fleet/router/routerCore.ts
@@ -7,7 +7,7 @@
 import { AdmitSystem } from "./admitSystem.js";
 import { AgentViewSystem } from "./agentViewSystem.js";
 import type { VersionedClaims } from "./claims.js";
-import { CostGuess } from "./classify.js";
+import { CostEstimator } from "./costEstimator.js";
 import { ExpireSystem } from "./expireSystem.js";
 import { OfferSystem } from "./offerSystem.js";
 import type { RouterOptions } from "./options.js";
@@ -22,7 +22,7 @@
  */
 export class RouterCore implements Core<RouterMessage, RouterEffect> {
     private readonly state: RouterState;
-    private readonly costs = new CostGuess();
+    private readonly costs = new CostEstimator();
     private readonly admitSystem: AdmitSystem;
     private readonly offerSystem: OfferSystem;
     private readonly withdrawSystem: WithdrawSystem;
@@ -83,7 +83,7 @@
         }
         return Object.entries(document.clientAccounts).flatMap(([clientAccount, account]) =>
             (account.services ?? Object.keys(document.services)).map(service => {
-                const count = requests.countShare(service, clientAccount);
+                const count = requests.countAccountAtService(service, clientAccount);
                 return {
                     clientAccount,
                     service,
@@ -174,7 +174,7 @@
         if (entry.stage !== "started") {
             this.state.getDrainRate(entry.lane.key).handleStart(nowMs);
             this.state.removeFromStage(entry, nowMs);
-            this.state.requests.set({ ...entry, stage: "started", withdrawFor: undefined });
+            this.state.requests.set({ ...entry, stage: "started", withdrawReason: undefined });
         }
     }
 
--- a/src/fleet/router/state.ts
+++ b/src/fleet/router/state.ts
@@ -104,7 +104,7 @@
     /** Puts a request into the backlog: behind the others, or at the head when it waited before. */
     public addToBacklog(entry: RequestEntry, position: "last" | "first", nowMs: number): void {
         const weight = this.getWeight(entry.lane.clientAccount);
-        this.requests.set({ ...entry, stage: "waiting", agentId: undefined, withdrawFor: undefined });
+        this.requests.set({ ...entry, stage: "waiting", agentId: undefined, withdrawReason: undefined });
         if (position === "first") {
             this.backlog.addFirst(entry.lane.key, weight, entry.request.id);
         } else {
--- a/src/fleet/router/tables.ts
+++ b/src/fleet/router/tables.ts
@@ -20,7 +20,7 @@
     readonly sentAtMs: number;
     readonly triedAgentIds: readonly string[];
     /** Why it is being withdrawn. */
-    readonly withdrawFor: "move" | "deadline" | undefined;
+    readonly withdrawReason: "move" | "deadline" | undefined;
     /** What is known of the attempts that failed. */
     readonly execution: Execution;
     /** For placement by cached prefix. */
@@ -84,7 +84,7 @@
     }
 
     /** Requests of an account at one service. */
-    public countShare(service: string, clientAccount: string): AccountCount {
+    public countAccountAtService(service: string, clientAccount: string): AccountCount {
         return this.accounts.get(`${service}\n${clientAccount}`) ?? noCount;
     }
 
--- a/src/fleet/router/withdrawSystem.ts
+++ b/src/fleet/router/withdrawSystem.ts
@@ -21,7 +21,7 @@
         if (agentId === undefined || entry.stage === "started") {
             return;
         }
-        this.state.requests.set({ ...entry, stage: "withdrawing", withdrawFor });
+        this.state.requests.set({ ...entry, stage: "withdrawing", withdrawReason: withdrawFor });
         if (entry.stage === "offered") {
             this.sendWithdraw(entry.request.id, agentId, nowMs);
         }
@@ -47,7 +47,7 @@
      * already offered to the agent. A request that has moved before stays longer, so that none is sent to and fro between
      * agents whose free slots it may not use (long work and the slots kept for short).
      */
-    public withdrawForRoom(agent: AgentEntry, nowMs: number): void {
+    public withdrawForCapacity(agent: AgentEntry, nowMs: number): void {
         let room = computeRoom(agent);
         let visits = 0;
         for (const other of room > 0 ? this.listBusy(agent) : []) {
@@ -87,7 +87,7 @@
             }
         }
         if (roomiest !== undefined) {
-            this.withdrawForRoom(roomiest, nowMs);
+            this.withdrawForCapacity(roomiest, nowMs);
         }
     }
 
--- a/src/gateway/rollouts/pendingBreaks.ts
+++ b/src/gateway/rollouts/pendingDisconnects.ts
@@ -11,7 +11,7 @@
  * A target that crashes breaks all its requests, which says little of its version; one that goes on to answer requests that were sent
  * later has broken single answers.
  */
-export class PendingBreaks {
+export class PendingDisconnects {
     private readonly byTarget = new Map<Target, PendingBreak[]>();
 
     public record(target: Target, route: string, atMs: number): void {
--- a/src/gateway/rollouts/requestVersions.ts
+++ b/src/gateway/rollouts/requestVersions.ts
@@ -106,7 +106,7 @@
             .filter(target => rollout.isCandidate(target))
             .map(target => ({ target, rank: mixHashes(rankingSeed, target.idHash) }))
             .sort((a, b) => a.rank - b.rank);
-        const count = Math.max(1, Math.ceil(open.length * rollout.targetPart));
+        const count = Math.max(1, Math.ceil(open.length * rollout.targetShare));
         return new Set(open.slice(0, count).map(({ target }) => target));
     }
 }
--- a/src/gateway/rollouts/rollouts.ts
+++ b/src/gateway/rollouts/rollouts.ts
@@ -12,7 +12,7 @@
 import type { TargetDirectory } from "../targetDirectory.js";
 import type { AttemptOutcome } from "../attempt.js";
 import { LazyMap } from "../lazyMap.js";
-import { AnswerPace, type AnswerTimes } from "./answerPace.js";
+import { SlowResponseDetector, type ResponseTimes } from "./slowResponseDetector.js";
 import { RequestVersions, type VersionSource } from "./requestVersions.js";
 import { RolloutDecider } from "./rolloutDecider.js";
 import type { RolloutMessage } from "./rolloutMessage.js";
@@ -54,11 +54,11 @@
 }
 
 /** A send that has ended. */
-export interface ObservedSend {
+export interface ObservedAttempt {
     readonly target: Target;
     readonly route: string;
     readonly outcome: AttemptOutcome;
-    readonly times: AnswerTimes;
+    readonly times: ResponseTimes;
     readonly sentAtMs: number;
 }
 
@@ -73,7 +73,7 @@
     private readonly store = new DisposableStore();
     private readonly lifetime = this.store.add(new CancellationTokenSource());
     private readonly byService = new Map<string, ServiceRollout>();
-    private readonly paces = new LazyMap(() => new AnswerPace());
+    private readonly paces = new LazyMap(() => new SlowResponseDetector());
     private readonly deciders = new Map<string, RolloutDecider>();
     private readonly incarnation: number;
     private timer: Disposable | undefined;
@@ -106,7 +106,7 @@
     }
 
     /** Takes how a send ended: evidence on a version that is rolled out, and what is usual. */
-    public observe(send: ObservedSend): void {
+    public observe(send: ObservedAttempt): void {
         const result = describeOutcome(send.outcome);
         if (result === undefined) {
             return;
@@ -122,7 +122,7 @@
         }
         rollout?.observe({ route, isCandidate, targetHash: target.idHash, result, isSlow });
         if (isCandidate) {
-            rollout.observeBreaks(send, result === "broken");
+            rollout.observeDisconnect(send, result === "broken");
         }
     }
 
--- a/src/gateway/rollouts/serviceRollout.ts
+++ b/src/gateway/rollouts/serviceRollout.ts
@@ -3,7 +3,7 @@
 import { ExposureBudget, type ExposureLimit } from "../../decisions/rollouts/exposureBudget.js";
 import { rampShare, type RolloutStep } from "../../decisions/rollouts/rolloutPlan.js";
 import type { Target } from "../target.js";
-import { PendingBreaks } from "./pendingBreaks.js";
+import { PendingDisconnects } from "./pendingDisconnects.js";
 import type { RolloutOrder, RolloutStatus } from "./rolloutRecords.js";
 
 /** What a target's version is to a roll-out. */
@@ -22,7 +22,7 @@
 /** One service's roll-out as this router knows it. */
 export class ServiceRollout {
     private readonly counter = new EvidenceCounter();
-    private readonly pendingBreaks = new PendingBreaks();
+    private readonly pendingBreaks = new PendingDisconnects();
     private readonly budget: ExposureBudget;
     private readonly seenAtMs: number;
     private olderByMs = 0;
@@ -158,7 +158,7 @@
     }
 
     /** Part of the new version's targets that requests go to: few requests show what a version does under load at few targets. */
-    public get targetPart(): number {
+    public get targetShare(): number {
         switch (this.step) {
             case "canary":
             case "watch":
@@ -188,7 +188,7 @@
     }
 
     /** Tells requests that a target of the new version broke off from those that ended with it. */
-    public observeBreaks(send: { target: Target; route: string; sentAtMs: number }, isBroken: boolean): void {
+    public observeDisconnect(send: { target: Target; route: string; sentAtMs: number }, isBroken: boolean): void {
         if (isBroken) {
             this.pendingBreaks.record(send.target, send.route, this.clock.nowMs());
             return;
--- a/src/gateway/rollouts/answerPace.ts
+++ b/src/gateway/rollouts/slowResponseDetector.ts
@@ -1,7 +1,7 @@
 import { RunningQuantile } from "../../decisions/structures/runningQuantile.js";
 
 /** How long one whole answer took. */
-export interface AnswerTimes {
+export interface ResponseTimes {
     /** From the send to the first output; milliseconds. */
     readonly firstOutputMs: number;
     /** The same as it was expected; milliseconds. */
@@ -19,13 +19,13 @@
 const leastMs = 20;
 
 /** How long answers on one route usually take, and which ones take several times as long. */
-export class AnswerPace {
+export class SlowResponseDetector {
     private readonly firstRatio = new RunningQuantile(usualQuantile);
     private readonly msPerOutput = new RunningQuantile(usualQuantile);
     private samples = 0;
 
     /** Takes an answer of a version that is known to be sound. */
-    public observe(times: AnswerTimes): void {
+    public observe(times: ResponseTimes): void {
         this.samples += 1;
         this.firstRatio.observe(computeRatio(times));
         if (times.msPerOutput !== undefined) {
@@ -34,7 +34,7 @@
     }
 
     /** Whether the answer took several times as long as is usual. */
-    public isSlow(times: AnswerTimes): boolean {
+    public isSlow(times: ResponseTimes): boolean {
         if (this.samples < leastSamples) {
             return false;
         }
@@ -44,7 +44,7 @@
     }
 }
 
-function computeRatio({ firstOutputMs, expectedMs }: AnswerTimes): number {
+function computeRatio({ firstOutputMs, expectedMs }: ResponseTimes): number {
     return Math.max(leastMs, firstOutputMs) / Math.max(leastMs, expectedMs);
 }
 
--- a/src/router/keyDirectory.ts
+++ b/src/router/keyDirectory.ts
@@ -5,7 +5,7 @@
 import type { RosterEntry } from "../control/schemas.js";
 import type { AgentReport, Refusal } from "../fleet/entities.js";
 import { signIssuedKey } from "../fleet/keys/issuedKey.js";
-import { findKeyHome } from "../fleet/keys/keyHome.js";
+import { findKeyOwner } from "../fleet/keys/keyOwner.js";
 import { defaultKeyTiming } from "../fleet/keys/keyTiming.js";
 import type { KeyDirectory } from "./callerRequests.js";
 
@@ -27,7 +27,7 @@
 
     public findHome(clientAccount: string, service: string, key: string): Result<string, Refusal> {
         const agents = this.parts.listRoster().filter(entry => entry.role === "agent");
-        return findKeyHome({ clientAccount, service, key }, agents, this.parts.secret).map(home => home.agentId);
+        return findKeyOwner({ clientAccount, service, key }, agents, this.parts.secret).map(home => home.agentId);
     }
 
     public issue(clientAccount: string, service: string): Result<string, Refusal> {
--- a/test/fleet/agentFairness.test.ts
+++ b/test/fleet/agentFairness.test.ts
@@ -1,6 +1,6 @@
 import fc from "fast-check";
 import { describe, expect, it } from "vitest";
-import { AgentFleetDriver, type FleetChoices } from "./agentFleetDriver.js";
+import { AgentFleetDriver, type FleetOptions } from "./agentFleetDriver.js";
 
 const settleMs = 8_000;
 
@@ -66,7 +66,7 @@
     });
     const parts = accounts.map(account => {
         const costs = driver.starts.filter(start => start.clientAccount === account).map(start => start.normalizedCost);
-        const stale = findLargestIn(driver, account, driver.greatestStalenessMs);
+        const stale = findLargestIn(driver, account, driver.maxStalenessMs);
         const running = outstanding.get(account) ?? 0;
         const ofRestarts = span.restarts.length * (stale + 2 * running);
         return Math.max(0, ...costs) + stale + ofRestarts + (span.by === "delivered" ? 2 * running : 0);
@@ -92,7 +92,7 @@
 });
 
 /** Costs that differ from request to request; the department's hints are too high or missing, the others' are right. */
-const unknownCosts: fc.Arbitrary<Partial<FleetChoices>> = fc
+const unknownCosts: fc.Arbitrary<Partial<FleetOptions>> = fc
     .tuple(shape, fc.integer({ min: 1, max: 2_000 }), fc.boolean())
     .map(([choices, spread, hints]) => ({
         ...choices,
@@ -105,7 +105,7 @@
     }));
 
 /** One cost for each account, told beforehand: what is left of the gap is due to turns and news alone. */
-const knownCosts: fc.Arbitrary<Partial<FleetChoices>> = fc
+const knownCosts: fc.Arbitrary<Partial<FleetOptions>> = fc
     .tuple(shape, fc.array(fc.integer({ min: 10, max: 1_000 }), { minLength: 3, maxLength: 3 }))
     .map(([choices, tokens]) => ({
         ...choices,
@@ -119,7 +119,7 @@
     maxLength: 3,
 });
 
-function checkGap(choices: Partial<FleetChoices>, span: Span): void {
+function checkGap(choices: Partial<FleetOptions>, span: Span): void {
     const driver = new AgentFleetDriver(choices);
     const accounts = Object.keys(choices.weights ?? {});
     // The club reaches one agent only; its share fits there, so the others must leave it room on account of what they
--- a/test/fleet/agentFixtures.ts
+++ b/test/fleet/agentFixtures.ts
@@ -5,7 +5,7 @@
 import type { AgentEffect } from "../../src/fleet/agentMessages.js";
 import type { WorkRequest } from "../../src/fleet/entities.js";
 
-export interface DocumentChoices {
+export interface DocumentOptions {
     readonly weights: Readonly<Record<string, number>>;
     readonly maxConcurrent: number;
     readonly coldLimit: number;
@@ -15,7 +15,7 @@
 }
 
 /** A document with one data centre, one target and one service of each kind. */
-export function createDocument(choices: Partial<DocumentChoices> = {}): EnvironmentDocument {
+export function createDocument(choices: Partial<DocumentOptions> = {}): EnvironmentDocument {
     const weights = choices.weights ?? { department: 16, club: 1 };
     const clientAccounts = Object.fromEntries(
         Object.entries(weights).map(([name, weight]) => [name, { weight, apiKeyHashes: [] }]),
@@ -100,7 +100,7 @@
 }
 
 /** Brings an agent past its cold start by two reports after the lag; takes until 4,000 ms. */
-export function createWarmAgent(choices: Partial<DocumentChoices> = {}, recorder?: EventRecorder): AgentCore {
+export function createWarmAgent(choices: Partial<DocumentOptions> = {}, recorder?: EventRecorder): AgentCore {
     const agent = createAgent(recorder);
     agent.handle({ type: "documentAccepted", offset: 1, document: createDocument(choices) }, 0);
     for (const atMs of [3_000, 4_000]) {
--- a/test/fleet/agentFleetDriver.ts
+++ b/test/fleet/agentFleetDriver.ts
@@ -14,7 +14,7 @@
     readonly generatedTokens: number;
 }
 
-export interface FleetChoices {
+export interface FleetOptions {
     readonly agents: number;
     readonly maxConcurrent: number;
     readonly coldLimit: number;
@@ -30,7 +30,7 @@
     createDemand(request: { readonly clientAccount: string; readonly random: Random }): Demand;
 }
 
-export const defaultFleetChoices: FleetChoices = {
+export const defaultFleetOptions: FleetOptions = {
     agents: 4,
     maxConcurrent: 8,
     coldLimit: 2,
@@ -86,10 +86,10 @@
     public readonly starts: Start[] = [];
     public readonly refusals: Ending[] = [];
     /** Cost delivered to each account, over weight, with the part of what runs now. */
-    public readonly ended = new Map<string, number>();
-    public greatestStalenessMs = 0;
+    public readonly deliveredByEndedRuns = new Map<string, number>();
+    public maxStalenessMs = 0;
     /** Agents whose news the exchange cannot reach just now. */
-    public readonly cutOff = new Set<number>();
+    public readonly partitionedAgents = new Set<number>();
     private readonly chargedByGone = new Map<string, number>();
     private readonly seats: AgentSeat[];
     private readonly random: Random;
@@ -100,10 +100,10 @@
     private readonly backlog = new Map<string, ReadonlySet<number>>();
     private nextEvent = 0;
     private nextRequest = 0;
-    private readonly choices: FleetChoices;
+    private readonly choices: FleetOptions;
 
-    public constructor(choices: Partial<FleetChoices>) {
-        this.choices = { ...defaultFleetChoices, ...choices };
+    public constructor(choices: Partial<FleetOptions>) {
+        this.choices = { ...defaultFleetOptions, ...choices };
         this.random = new SeededRandom(this.choices.seed);
         this.seats = [...Array(this.choices.agents).keys()].map(index => ({
             index,
@@ -128,7 +128,7 @@
     }
 
     /** Offers one request; returns its id. */
-    public offerOne(agent: number, clientAccount: string, changes: Partial<WorkRequest> = {}): string {
+    public offerRequest(agent: number, clientAccount: string, changes: Partial<WorkRequest> = {}): string {
         const demand = this.choices.createDemand({ clientAccount, random: this.random });
         const id = `${clientAccount}-${this.nextRequest}`;
         this.nextRequest += 1;
@@ -142,13 +142,13 @@
             ...changes,
         });
         this.requests.set(id, { request, demand });
-        this.send(this.getSeat(agent), { type: "workOffered", request, routerId: "r1" });
+        this.send(this.getAgent(agent), { type: "workOffered", request, routerId: "r1" });
         return id;
     }
 
     /** Replaces an agent's process by one without state; what ran there breaks off. */
     public startAgainWithoutState(agent: number): void {
-        const seat = this.getSeat(agent);
+        const seat = this.getAgent(agent);
         for (const run of seat.runs.values()) {
             this.addDelivered(run, this.nowMs);
         }
@@ -178,7 +178,7 @@
 
     /** Service delivered so far over weight, with what running requests have had. */
     public getDelivered(clientAccount: string): number {
-        let delivered = this.ended.get(clientAccount) ?? 0;
+        let delivered = this.deliveredByEndedRuns.get(clientAccount) ?? 0;
         for (const seat of this.seats) {
             for (const run of seat.runs.values()) {
                 if (run.request.clientAccount === clientAccount) {
@@ -228,7 +228,7 @@
         this.applyEffects(seat, seat.core.handle(message, this.nowMs));
     }
 
-    public getSeat(agent: number): AgentSeat {
+    public getAgent(agent: number): AgentSeat {
         const seat = this.seats[agent];
         if (seat === undefined) {
             throw new Error(`no agent ${agent}`);
@@ -269,7 +269,7 @@
         }
         const share = seat.core.listShares().find(entry => entry.clientAccount === clientAccount);
         for (let waiting = share?.waiting ?? 0; waiting < 2; waiting += 1) {
-            this.offerOne(seat.index, clientAccount);
+            this.offerRequest(seat.index, clientAccount);
         }
     }
 
@@ -300,7 +300,7 @@
         const run = { request, cost, demand, startedAtMs: nowMs, endsAtMs: nowMs + durationMs };
         seat.runs.set(request.id, run);
         if (this.seats.length > 1) {
-            this.greatestStalenessMs = Math.max(this.greatestStalenessMs, nowMs - seat.newsFromMs);
+            this.maxStalenessMs = Math.max(this.maxStalenessMs, nowMs - seat.newsFromMs);
         }
         this.starts.push({
             atMs: nowMs,
@@ -341,7 +341,10 @@
 
     private addDelivered(run: Run, atMs: number): void {
         const { clientAccount } = run.request;
-        this.ended.set(clientAccount, (this.ended.get(clientAccount) ?? 0) + this.computeDelivered(run, atMs));
+        this.deliveredByEndedRuns.set(
+            clientAccount,
+            (this.deliveredByEndedRuns.get(clientAccount) ?? 0) + this.computeDelivered(run, atMs),
+        );
     }
 
     private computeDelivered(run: Run, atMs: number): number {
@@ -351,7 +354,7 @@
 
     /** One round of the exchange: reads every agent's report, and sends each agent the sums over all others. */
     private runExchange(): void {
-        const reachable = this.seats.filter(seat => !this.cutOff.has(seat.index));
+        const reachable = this.seats.filter(seat => !this.partitionedAgents.has(seat.index));
         for (const seat of reachable) {
             this.mergeReport(seat.core.createReport(undefined));
         }
--- a/test/fleet/agentLoad.test.ts
+++ b/test/fleet/agentLoad.test.ts
@@ -29,7 +29,7 @@
 function runSteady(driver: AgentFleetDriver, clientAccount: string, everyMs: number, forMs: number): void {
     let count = 0;
     driver.advance(forMs, everyMs, () => {
-        driver.offerOne(count % 2, clientAccount, { deadlineAtMs: driver.nowMs + 10_000 });
+        driver.offerRequest(count % 2, clientAccount, { deadlineAtMs: driver.nowMs + 10_000 });
         count += 1;
     });
 }
@@ -70,7 +70,7 @@
         driver.advance(settleMs);
         driver.stopBacklog("middle");
         for (let index = 0; index < 400; index += 1) {
-            driver.offerOne(index % 2, "department", { deadlineAtMs: driver.nowMs + 5_000 });
+            driver.offerRequest(index % 2, "department", { deadlineAtMs: driver.nowMs + 5_000 });
         }
         driver.advance(10_000);
         expect(describeCallers(driver, "department", settleMs)).toMatchInlineSnapshot(`
@@ -99,7 +99,7 @@
         let count = 0;
         driver.advance(60_000, 25, () => {
             for (const clientAccount of ["department", "middle", "club"]) {
-                driver.offerOne(count % 2, clientAccount, { deadlineAtMs: driver.nowMs + 5_000 });
+                driver.offerRequest(count % 2, clientAccount, { deadlineAtMs: driver.nowMs + 5_000 });
             }
             count += 1;
         });
@@ -150,8 +150,8 @@
         driver.startBacklog("department");
         driver.advance(30_000);
         const idleWithoutQuestions = driver.countIdleSlots();
-        driver.offerOne(0, "club");
-        driver.offerOne(1, "club");
+        driver.offerRequest(0, "club");
+        driver.offerRequest(1, "club");
         driver.advance(15_000, 250, () => undefined);
         const fromMs = driver.nowMs;
         runSteady(driver, "club", 500, 40_000);
@@ -213,10 +213,10 @@
         driver.startBacklog("department");
         driver.startBacklog("middle", [1]);
         driver.advance(settleMs);
-        driver.cutOff.add(0);
+        driver.partitionedAgents.add(0);
         driver.advance(120_000);
         const lag = Math.round(driver.getDelivered("department") - driver.getDelivered("middle"));
-        driver.cutOff.clear();
+        driver.partitionedAgents.clear();
         driver.startBacklog("middle");
         const fromMs = driver.nowMs;
         driver.advance(40_000);
--- a/test/fleet/keys.property.test.ts
+++ b/test/fleet/keys.property.test.ts
@@ -40,7 +40,7 @@
     .map(([index, isPaused]) => createCommand(`pause ${index} ${isPaused}`, world => world.setPaused(index, isPaused)));
 const setOut = fc
     .tuple(processIndex, fc.boolean())
-    .map(([index, isOut]) => createCommand(`${index} out ${isOut}`, world => world.setOut(index, isOut)));
+    .map(([index, isOut]) => createCommand(`${index} out ${isOut}`, world => world.setDataCentreOut(index, isOut)));
 const startNext = fc
     .tuple(processIndex, fc.integer({ min: 0, max: 9 }))
     .map(([index, luck]) => createCommand(`start at ${index} (${luck})`, world => world.startNext(index, luck > 0)));
@@ -68,7 +68,7 @@
             createCommand(`agent ${name} leaves the roster`, world => world.removeFromRoster(name)),
         ),
     },
-    { weight: 1, arbitrary: fc.constant(createCommand("late appends land", world => world.appendLate())) },
+    { weight: 1, arbitrary: fc.constant(createCommand("late appends land", world => world.appendDelayedRecords())) },
     {
         weight: 1,
         arbitrary: fc.nat(3).map(luck => createCommand(`log up ${luck > 0}`, world => world.setLog(luck > 0))),
@@ -83,7 +83,7 @@
         arbitrary: fc
             .tuple(processIndex, fc.boolean())
             .map(([index, hasWaited]) =>
-                createCommand(`take read ${index}, waited ${hasWaited}`, world => world.takeRead(index, hasWaited)),
+                createCommand(`take read ${index}, waited ${hasWaited}`, world => world.applyRead(index, hasWaited)),
             ),
     },
     { weight: 6, arbitrary: fc.constant(createCommand("all read the log", world => world.readAll())) },
@@ -111,8 +111,8 @@
         world.startAgent(0, true);
         world.startRead(0);
         world.advance(9_000);
-        world.appendLate();
-        world.takeRead(0, true);
+        world.appendDelayedRecords();
+        world.applyRead(0, true);
         world.readAll();
         [0, 1, 2].forEach(via => world.updateRouter(via));
         createKeys(world);
@@ -175,12 +175,12 @@
     "a home that was out handed its keys over, a retention ago": world => {
         startSettled(world, [0, 1]);
         createKeys(world);
-        world.setOut(1, true);
+        world.setDataCentreOut(1, true);
         sendKeys(world, 0, false);
         world.advance(200_000);
         world.startAll();
         world.advance(420_000);
-        world.setOut(1, false);
+        world.setDataCentreOut(1, false);
         world.readAll();
     },
     "a router has an old view for long": world => {
--- a/test/fleet/keys.test.ts
+++ b/test/fleet/keys.test.ts
@@ -1,9 +1,9 @@
 import { describe, expect, it } from "vitest";
-import type { KeyAuthority } from "../../src/fleet/keys/homeAuthority.js";
+import type { KeyAuthority } from "../../src/fleet/keys/keyOwnerAuthority.js";
 import { issuedKeyPrefix, signIssuedKey, verifyIssuedKey } from "../../src/fleet/keys/issuedKey.js";
 import { KeyTable } from "../../src/fleet/keys/keyTable.js";
 import { defaultKeyTiming } from "../../src/fleet/keys/keyTiming.js";
-import { hasTakenOver } from "../../src/fleet/keys/takeover.js";
+import { canHaveStartedBefore } from "../../src/fleet/keys/takeover.js";
 import type { KeyUse } from "../../src/fleet/keys/keyUse.js";
 
 const claims = {
@@ -122,7 +122,7 @@
         const own = { agentId: "agent-1", incarnation: 2, services, registeredAtMs: takeoverMs, endedAtMs: undefined };
         const history = { tenures: [before, own], completeSinceMs: undefined };
         const check = (keyTimeMs: number): boolean =>
-            hasTakenOver(
+            canHaveStartedBefore(
                 history,
                 own,
                 { service: "registration", keyHash: "k", keyTimeMs },
--- a/test/fleet/keysWorld.ts
+++ b/test/fleet/keysWorld.ts
@@ -1,9 +1,9 @@
 import { v7 } from "uuid";
 import { SeededRandom } from "../../src/base/random.js";
 import { createKeyHistory } from "../../src/daemon/keyHistory.js";
-import { HomeAuthority } from "../../src/fleet/keys/homeAuthority.js";
+import { KeyOwnerAuthority } from "../../src/fleet/keys/keyOwnerAuthority.js";
 import { signIssuedKey, verifyIssuedKey } from "../../src/fleet/keys/issuedKey.js";
-import { findKeyHome, type RosterAgent } from "../../src/fleet/keys/keyHome.js";
+import { findKeyOwner, type RosterAgent } from "../../src/fleet/keys/keyOwner.js";
 import { defaultKeyTableLimits, KeyTable, type KeyDecision } from "../../src/fleet/keys/keyTable.js";
 import { defaultKeyTiming, type Instant } from "../../src/fleet/keys/keyTiming.js";
 import type { KeyUse } from "../../src/fleet/keys/keyUse.js";
@@ -36,7 +36,7 @@
     readonly agentId: string;
     readonly incarnation: number;
     readonly skewMs: number;
-    readonly authority: HomeAuthority;
+    readonly authority: KeyOwnerAuthority;
     readonly table: KeyTable;
     readonly waiting: { readonly keyHash: string; readonly key: Key; readonly requestId: string }[];
     readonly running: string[];
@@ -66,14 +66,14 @@
     public startAgent(agent: number, isLate: boolean): void {
         const incarnation = ++this.lastIncarnation;
         const agentId = `agent-${agent}`;
-        const authority = new HomeAuthority({ agentId, incarnation }, secret, timing);
+        const authority = new KeyOwnerAuthority({ agentId, incarnation }, secret, timing);
         const table = new KeyTable(authority, defaultKeyTableLimits);
         const skewMs = agentSkewsMs[incarnation % agentSkewsMs.length];
         const parts = { waiting: [], running: [], inbox: [], isPaused: false, isOut: false, read: undefined };
         this.processes.push({ agentId, incarnation, skewMs, authority, table, ...parts });
         this.inFlight.push(this.createRegistration(agentId, incarnation));
         if (!isLate) {
-            this.appendLate();
+            this.appendDelayedRecords();
         }
     }
 
@@ -98,12 +98,12 @@
                 by: "",
                 registration,
             });
-            this.appendLate();
+            this.appendDelayedRecords();
         }
     }
 
     /** Appends reach the log now, or when it is up again. */
-    public appendLate(): void {
+    public appendDelayedRecords(): void {
         if (this.isLogUp) {
             for (const record of this.inFlight.splice(0)) {
                 const offset = this.roster.nextOffset;
@@ -117,7 +117,7 @@
 
     public setLog(isUp: boolean): void {
         this.isLogUp = isUp;
-        this.appendLate();
+        this.appendDelayedRecords();
     }
 
     public setPaused(index: number, isPaused: boolean): void {
@@ -130,7 +130,7 @@
         }
     }
 
-    public setOut(index: number, isOut: boolean): void {
+    public setDataCentreOut(index: number, isOut: boolean): void {
         const process = this.processes[index % this.processes.length];
         if (process !== undefined) {
             process.isOut = isOut;
@@ -145,7 +145,7 @@
     }
 
     /** A read that waited for news shows what was appended after it began. */
-    public takeRead(index: number, hasWaited: boolean): void {
+    public applyRead(index: number, hasWaited: boolean): void {
         const process = this.processes[index % this.processes.length];
         if (process?.read !== undefined && !process.isPaused) {
             const history = hasWaited && this.isLogUp ? createKeyHistory(this.roster) : process.read.history;
@@ -156,10 +156,10 @@
 
     /** What a healthy moment does: everyone that runs reads the log. */
     public readAll(): void {
-        this.appendLate();
+        this.appendDelayedRecords();
         this.processes.forEach((...[, index]) => {
             this.startRead(index);
-            this.takeRead(index, false);
+            this.applyRead(index, false);
         });
     }
 
@@ -187,7 +187,7 @@
         }
         const requestId = `request-${++this.lastRequest}`;
         const use: KeyUse = { clientAccount, service, key: key.text, requestDigest: "same", requestId };
-        const home = findKeyHome(use, this.routers[router].agents, secret);
+        const home = findKeyOwner(use, this.routers[router].agents, secret);
         home.match(
             ({ agentId }) => this.send(key, use, agentId, isStale, true),
             refusal => this.observeRefusal(key, requestId, refusal.execution),
--- a/test/gateway/endlessSources.test.ts
+++ b/test/gateway/endlessSources.test.ts
@@ -2,7 +2,7 @@
 import { afterEach, beforeEach, expect, it } from "vitest";
 import { SystemClock } from "../../src/base/clock.js";
 import { CancellationTokenSource } from "../../src/base/cancellation.js";
-import { EngineLists } from "../../platform/engineLists.js";
+import { HttpEngineInspector } from "../../platform/httpEngineInspector.js";
 import { fetchSnapshot } from "../../src/gateway/peers/snapshotApi.js";
 import { StoreClient } from "../../platform/storeClient.js";
 
@@ -63,7 +63,7 @@
 });
 
 it("an engine's list without end is a failed call", async () => {
-    const engines = new EngineLists(new SystemClock());
+    const engines = new HttpEngineInspector(new SystemClock());
     const list = await engines.listCachedParts(getAddress(), new CancellationTokenSource().token);
     await waitForClose();
     engines.dispose();
--- a/test/gateway/gatewayFixture.ts
+++ b/test/gateway/gatewayFixture.ts
@@ -8,7 +8,7 @@
 import type { LoadSource } from "../../src/gateway/loadMonitor.js";
 import { GatewayDaemon } from "../../src/gateway/gatewayDaemon.js";
 import { gatewaySettingsSchema, type GatewaySettings } from "../../src/gateway/settings.js";
-import { EngineLists } from "../../platform/engineLists.js";
+import { HttpEngineInspector } from "../../platform/httpEngineInspector.js";
 import { PlatformHeaders } from "../../platform/headers.js";
 import { StoreClient } from "../../platform/storeClient.js";
 import { StoreFeed } from "../../platform/storeFeed.js";
@@ -161,7 +161,7 @@
             heartbeatMs,
         });
         const codec = new PlatformHeaders();
-        const engines = new EngineLists(clock);
+        const engines = new HttpEngineInspector(clock);
         const daemon = new GatewayDaemon({
             settings,
             clock,
