--- a/src/decisions/rollouts/rolloutPlan.ts
+++ b/src/decisions/rollouts/rolloutPlan.ts
@@ -84,7 +84,7 @@
             return chooseAfterWatch(progress);
         case "ramp":
             return progress.stepAgeMs >= Math.max(minRampMs, rampFraction * progress.durationMs)
-                ? { next: "switch", reason: "no fault was observed at a part of the load" }
+                ? { next: "switch", reason: "no fault shows at a part of the load" }
                 : undefined;
         case "switch":
             return chooseAfterSwitch(progress);
@@ -97,25 +97,25 @@
         return { next: "watch", reason: "the version is shown to be sound" };
     }
     if (verdict === "likely-good" && ageMs >= likelyCanaryFraction * durationMs) {
-        return { next: "watch", reason: "there is no evidence against the version" };
+        return { next: "watch", reason: "nothing speaks against the version" };
     }
     return ageMs < durationMs
         ? undefined
-        : { next: "rolled-back", reason: "too few requests to show whether the version is sound" };
+        : { next: "rolled-back", reason: "too few requests showed whether the version is sound" };
 }
 
 function chooseAfterWatch(progress: RolloutProgress): RolloutDecision | undefined {
     const { verdict, ageMs, durationMs, capacityRatio } = progress;
     const isSound = verdict === "good" || verdict === "likely-good";
     if (isSound && ageMs >= watchFraction * durationMs && capacityRatio >= minCapacityRatio) {
-        return { next: "ramp", reason: "no fault was observed since" };
+        return { next: "ramp", reason: "no fault showed since" };
     }
     if (ageMs < durationMs) {
         return undefined;
     }
     return capacityRatio < minCapacityRatio
-        ? { next: "rolled-back", reason: "too few targets of the version accept requests" }
-        : { next: "rolled-back", reason: "a fault appeared late and may be caused by the version" };
+        ? { next: "rolled-back", reason: "too few targets of the version take requests" }
+        : { next: "rolled-back", reason: "a fault showed late, and may be one of the version" };
 }
 
 function chooseAfterSwitch({
@@ -131,6 +131,6 @@
         return { next: "complete", reason: "nothing runs at the old version any more" };
     }
     return ageMs >= maxWaitFraction * durationMs
-        ? { next: "complete", reason: "the time limit of the roll-out is nearly reached" }
+        ? { next: "complete", reason: "the time for the roll-out is nearly over" }
         : undefined;
 }
--- a/src/fleet/agent/admitSystem.ts
+++ b/src/fleet/agent/admitSystem.ts
@@ -33,7 +33,7 @@
             reason: decision.reason,
             execution: "not-run",
             retryAfterMs: decision.retryAfterMs,
-            detail: `The target's admission check refused the request (${decision.reason}).`,
+            detail: `The target cannot take the request in time (${decision.reason}).`,
         });
         return;
     }
@@ -53,7 +53,7 @@
         return createRefusal("duplicate", "not-run", "The request was withdrawn before it arrived.");
     }
     if (!request.idempotent && context.started.has(request.id)) {
-        return createRefusal("duplicate", "unknown", "The request has already been started at this target.");
+        return createRefusal("duplicate", "unknown", "The request has been started here before.");
     }
     return undefined;
 }
@@ -63,7 +63,7 @@
         return createRefusal("stopping", "not-run", "The agent is stopping.");
     }
     if (context.phase !== "serving") {
-        return createRefusal("draining", "not-run", `The target accepts no new requests (phase: ${context.phase}).`);
+        return createRefusal("draining", "not-run", `The target takes no new work (${context.phase}).`);
     }
     if (!context.listServices().includes(request.service)) {
         return createRefusal("no-target", "not-run", "The target does not serve this service.");
--- a/src/fleet/agent/expireSystem.ts
+++ b/src/fleet/agent/expireSystem.ts
@@ -13,7 +13,7 @@
                 reason: "deadline",
                 execution: "not-run",
                 retryAfterMs: toRetryAfterMs(context.serviceTimeMs),
-                detail: "The request has waited too long to complete by its deadline.",
+                detail: "The request has waited too long to be answered by its deadline.",
             });
         }
         next = context.deadlines.getMin();
--- a/src/fleet/keys/issuedKey.ts
+++ b/src/fleet/keys/issuedKey.ts
@@ -26,11 +26,7 @@
     public readonly code = "issued-key-invalid";
 
     public constructor(public readonly problem: "malformed" | "signature") {
-        super(
-            problem === "malformed"
-                ? "The issued idempotency key is malformed."
-                : "The issued idempotency key is not signed with this fleet's secret.",
-        );
+        super(problem === "malformed" ? "The issued key is malformed." : "The issued key's signature is not ours.");
     }
 }
 
--- a/src/fleet/keys/keyOwner.ts
+++ b/src/fleet/keys/keyOwner.ts
@@ -42,11 +42,7 @@
             const rosterAgent = agents.find(agent => agent.daemonId === agentId);
             // A key from a router with a newer roster may name an incarnation that is not in this router's roster yet.
             return rosterAgent !== undefined && rosterAgent.incarnation > incarnation
-                ? err(
-                      createRefusal(
-                          "The process for which the idempotency key was issued has ended; whether the key was used is unknown.",
-                      ),
-                  )
+                ? err(createRefusal("The process that could tell whether the key was used is gone."))
                 : ok({ agentId, incarnation });
         });
 }
--- a/src/fleet/keys/keyOwnerAuthority.ts
+++ b/src/fleet/keys/keyOwnerAuthority.ts
@@ -78,45 +78,39 @@
         }
         const claims = verified.value;
         if (claims.clientAccount !== use.clientAccount || claims.service !== use.service) {
-            return refuseNotRun("The idempotency key was issued to another account or for another service.");
+            return refuseNotRun("The key was issued to another account or for another service.");
         }
         if (claims.agentId !== this.self.agentId) {
             return {
-                ...refuseUnknown("The idempotency key was issued for another agent."),
+                ...refuseUnknown("The key belongs to another agent."),
                 homeAgentId: claims.agentId,
             };
         }
         if (claims.incarnation !== this.self.incarnation) {
-            return refuseUnknown(
-                "The process for which the idempotency key was issued has ended; whether the key was used is unknown.",
-            );
+            return refuseUnknown("The process that could tell whether the key was used is gone.");
         }
         const isUnexpired = wallMs < claims.expiresAtMs;
         const isWithinLifetime =
             claims.expiresAtMs <= wallMs + this.timing.issuedLifetimeMs + this.timing.maxClockSkewMs;
-        return isUnexpired && isWithinLifetime
-            ? { type: "new" }
-            : refuseUnknown("The idempotency key has expired, or its expiry is too far ahead.");
+        return isUnexpired && isWithinLifetime ? { type: "new" } : refuseUnknown("The key has expired.");
     }
 
     private checkCallerChosen(use: KeyUse, at: Instant, wallMs: number): KeyStatus {
         const confirmation = this.confirmation;
         if (confirmation === undefined || !this.isYounger(confirmation.startedAt, at, this.timing.leaseMs)) {
             return refuseUnknown(
-                "The agent has not confirmed within its lease that it owns the idempotency key.",
+                "The agent could not confirm lately that it is the home of the key.",
                 this.timing.leaseMs,
             );
         }
         const own = this.getOwnTenure(confirmation.history);
         if (own === undefined) {
-            return refuseUnknown(
-                "The agent is not in the roster, or a later process of the same agent has replaced it.",
-            );
+            return refuseUnknown("The agent is not in the roster, or a later process has taken its place.");
         }
         const keyHash = hashKey(use);
         const [owner] = orderOwners(confirmation.history, use.service, keyHash);
         if (owner?.agentId !== this.self.agentId) {
-            return { ...refuseUnknown("Another agent owns the idempotency key."), homeAgentId: owner?.agentId };
+            return { ...refuseUnknown("Another agent is the home of the key."), homeAgentId: owner?.agentId };
         }
         const keyTimeMs = readKeyTime(use.key);
         const isNew = !canHaveStartedBefore(
@@ -127,9 +121,7 @@
             this.timing,
         );
         if (!isNew) {
-            return refuseUnknown(
-                "The idempotency key may have been used before this agent became its owner, or longer ago than the retention.",
-            );
+            return refuseUnknown("The key may have been used before this agent became its home, or too long ago.");
         }
         const settleRemainingMs = this.getSettleRemainingMs(confirmation.startedAt);
         return settleRemainingMs > 0
@@ -143,7 +135,7 @@
      * time, no successor can have started the request, and its execution is `not-run`; afterwards it is `unknown`.
      */
     private refuseUnsettled(readStartedAt: Instant, at: Instant, settleRemainingMs: number): KeyStatus {
-        const detail = "The agent registered in the roster recently and does not start caller-chosen keys yet.";
+        const detail = "The agent has only just joined the roster.";
         const isReadRecent = this.isYounger(readStartedAt, at, this.timing.settleMs - this.timing.logSlackMs);
         return isReadRecent ? refuseNotRun(detail, settleRemainingMs) : refuseUnknown(detail, settleRemainingMs);
     }
--- a/src/fleet/keys/keyTable.ts
+++ b/src/fleet/keys/keyTable.ts
@@ -128,7 +128,7 @@
     public start(keyHash: string, at: Instant): Refusal | undefined {
         const entry = this.entries.get(keyHash);
         if (entry?.state.type !== "waiting") {
-            return createDuplicateRefusal("unknown", "No request with this idempotency key is waiting to start.");
+            return createDuplicateRefusal("unknown", "The key is not waiting to start.");
         }
         const status = this.authority.check(entry.use, at);
         if (status.type === "refused") {
@@ -205,11 +205,11 @@
     private checkCapacity(clientAccount: string): Refusal | undefined {
         const retryAfterMs = this.limits.retentionMs;
         if ((this.entriesByAccount.get(clientAccount) ?? 0) >= this.limits.maxEntriesPerAccount) {
-            const detail = "The account has reached its limit of idempotency keys at this agent.";
+            const detail = "The account has too many idempotency keys in use at this agent.";
             return { reason: "account-queue-full", execution: "not-run", retryAfterMs, detail };
         }
         if (this.entries.size >= this.limits.maxEntries) {
-            const detail = "The agent has reached its limit of idempotency keys.";
+            const detail = "The agent's table of idempotency keys is full.";
             return { reason: "queue-full", execution: "not-run", retryAfterMs, detail };
         }
         return undefined;
@@ -241,7 +241,7 @@
         // and a request with this key may have run already.
         const refusal = createDuplicateRefusal(
             "unknown",
-            "The idempotency key was used with another request; this request did not run.",
+            "The key was used with another request; this one did not run.",
         );
         return { type: "refuse", refusal };
     }
@@ -257,7 +257,7 @@
             return state.answerReference === undefined
                 ? {
                       type: "refuse",
-                      refusal: createDuplicateRefusal("ran", "The request ran; its response was not stored."),
+                      refusal: createDuplicateRefusal("ran", "It ran; its answer is no longer kept."),
                   }
                 : { type: "replay", keyHash, answerReference: state.answerReference };
     }
@@ -268,6 +268,6 @@
 }
 
 function createUnknownRefusal(): Refusal {
-    const detail = "The request was sent to the target, and whether it was executed is unknown.";
+    const detail = "The request was given to the target, and how that ended is not known.";
     return { reason: "key-unknown", execution: "unknown", retryAfterMs: undefined, detail };
 }
--- a/src/fleet/router/admitSystem.ts
+++ b/src/fleet/router/admitSystem.ts
@@ -55,7 +55,7 @@
                     "no-target",
                     entry.execution,
                     noTargetRetryAfterMs,
-                    "the agent that owns the idempotency key is unavailable",
+                    "the key's home is away",
                 );
             }
         }
@@ -70,7 +70,7 @@
                 "no-target",
                 entry.execution,
                 noTargetRetryAfterMs,
-                "no environment document has been received yet",
+                "no document is in force yet",
             );
         }
         const account = document.clientAccounts[entry.request.clientAccount];
@@ -119,9 +119,9 @@
 const minStoppingRetryMs = 1_000;
 
 const refusalDetails = {
-    "queue-full": "too many requests are queued",
+    "queue-full": "too many requests wait",
     "account-queue-full": "too many requests of this account are open",
-    deadline: "the request cannot start before its deadline",
+    deadline: "the deadline can't be met",
 };
 
 function createEntry(request: WorkRequest, lane: Lane): RequestEntry {
--- a/src/fleet/router/agentViewSystem.ts
+++ b/src/fleet/router/agentViewSystem.ts
@@ -61,7 +61,7 @@
                 // Whether the agent has started the request since can't be determined. Requests reported as started are
                 // not retried, because their connection may still deliver the response.
                 state.addEffect({ type: "cancelWork", requestId, agentId });
-                this.retrySystem.handleFailed(request, "unknown", "the agent is unresponsive", nowMs);
+                this.retrySystem.handleFailed(request, "unknown", "the agent does not answer", nowMs);
             }
         }
         this.checkServices(entry, nowMs);
--- a/src/fleet/router/expireSystem.ts
+++ b/src/fleet/router/expireSystem.ts
@@ -73,10 +73,6 @@
             return;
         }
         state.addEffect({ type: "cancelWork", requestId, agentId: entry.agentId });
-        state.refuse(
-            entry,
-            state.createRefusal("deadline", "unknown", undefined, "the agent did not reply to the withdrawal"),
-            nowMs,
-        );
+        state.refuse(entry, state.createRefusal("deadline", "unknown", undefined, "the agent does not answer"), nowMs);
     }
 }
--- a/src/fleet/router/offerSystem.ts
+++ b/src/fleet/router/offerSystem.ts
@@ -67,14 +67,12 @@
     /** Why a request that no agent can accept now is refused instead of queued; undefined if it stays queued. */
     private describeUnservable(entry: RequestEntry, nowMs: number): string | undefined {
         if (entry.lane.homeAgentId !== undefined) {
-            return "the agent that owns the idempotency key is unavailable";
+            return "the key's home is away";
         }
         if (!entry.request.idempotent && entry.triedAgentIds.length > 0) {
-            return "no untried agent is available for this non-idempotent request";
+            return "no agent is left to try";
         }
-        return this.state.isWithoutAgent(entry.request.service, nowMs)
-            ? "no target currently serves this service"
-            : undefined;
+        return this.state.isWithoutAgent(entry.request.service, nowMs) ? "no target serves this now" : undefined;
     }
 
     private choose(entry: RequestEntry, agents: readonly AgentEntry[]): AgentEntry | undefined {
--- a/src/fleet/router/retrySystem.ts
+++ b/src/fleet/router/retrySystem.ts
@@ -39,7 +39,7 @@
         if (entry.withdrawReason === "deadline") {
             this.refuseExpired(entry, nowMs);
         } else if (entry.lane.homeAgentId !== undefined) {
-            const detail = "the agent that owns the idempotency key returned the request";
+            const detail = "the key's home gave the request back";
             state.refuse(entry, state.createRefusal("draining", "not-run", minRetryAfterMs, detail), nowMs);
         } else {
             this.addToBacklogAgain(entry, nowMs);
@@ -96,7 +96,7 @@
             return;
         }
         if (!state.budget.takeRetry(clientAccount, state.document?.limits.retryRatio ?? 0, nowMs)) {
-            const detail = `the account's retry budget is exhausted (${refusal.detail})`;
+            const detail = `retries are used up (${refusal.detail})`;
             state.refuse(entry, { ...refusal, reason: "retry-budget", detail }, nowMs);
             return;
         }
--- a/src/gateway/accountMetrics.ts
+++ b/src/gateway/accountMetrics.ts
@@ -25,25 +25,25 @@
         // Collectors may truncate long pages, so the few gauges come before the many counters.
         this.share = new Gauge({
             name: "lynxarch_account_share",
-            help: "Tokens served to the account relative to its fair share, as computed by this router; 1 is the whole share.",
+            help: "What the account got over its fair share, as computed by this router.",
             labelNames: ["account"],
             registers,
         });
         this.surplus = new Gauge({
             name: "lynxarch_account_surplus",
-            help: "Tokens recently served to the account relative to the max-min fair level of recent service, as computed by this router.",
+            help: "What the account got just now over the even level, as computed by this router.",
             labelNames: ["account"],
             registers,
         });
         this.requests = new Counter({
             name: "lynxarch_account_requests_total",
-            help: "Requests by account and stage that they reached.",
+            help: "Requests by account and what became of them.",
             labelNames: ["account", "stage"],
             registers,
         });
         this.tokens = new Counter({
             name: "lynxarch_account_tokens_total",
-            help: "Tokens charged to the account's share for these requests.",
+            help: "Tokens of these requests as they count against the account's share.",
             labelNames: ["account", "stage"],
             registers,
         });
--- a/src/gateway/gatewayMetrics.ts
+++ b/src/gateway/gatewayMetrics.ts
@@ -48,38 +48,38 @@
     });
     private readonly ownerReplies = new Counter({
         name: "lynxarch_owner_answers_total",
-        help: "Grant requests to owners of engines, by whether the owner replied.",
+        help: "Grants that owners of engines were asked for, by whether they answered.",
         labelNames: ["outcome"],
         registers: [this.registry],
     });
     private readonly attempts = new Counter({
         name: "lynxarch_attempts_total",
-        help: "Attempts: requests sent to targets, by service.",
+        help: "Sends to targets, by service.",
         labelNames: ["service"],
         registers: [this.registry],
     });
     private readonly signals = new Counter({
         name: "lynxarch_target_signals_total",
-        help: "Responses in which targets reported that they are leaving or asked for a pause in requests, by service and signal.",
+        help: "Answers in which targets said that they are leaving or want no requests for a time, by service and signal.",
         labelNames: ["service", "signal"],
         registers: [this.registry],
     });
     private readonly timeliness = new Counter({
         name: "lynxarch_answers_total",
-        help: "Complete responses, by service and whether they met the route's objectives.",
+        help: "Answers that were whole, by service and whether they kept the route's objectives.",
         labelNames: ["service", "timeliness"],
         registers: [this.registry],
     });
     private readonly promptTokens = new Counter({
         name: "lynxarch_prompt_tokens_total",
-        help: "Prompt tokens of completed requests, by service and whether the target prefilled or copied them.",
+        help: "Prompt tokens of answered requests, by service and whether the target had to read them or copied them.",
         labelNames: ["service", "source"],
         registers: [this.registry],
     });
     private readonly accounts = new AccountMetrics(this.registry);
     private readonly totalsAge = new Histogram({
         name: "lynxarch_account_sums_age_seconds",
-        help: "Mean age of the other routers' account totals when a prompt's share was checked.",
+        help: "Mean age of the other routers' account sums when a prompt's share was checked.",
         buckets: secondsBuckets,
         registers: [this.registry],
     });
@@ -92,14 +92,14 @@
     });
     private readonly longestPause = new Histogram({
         name: "lynxarch_longest_pause_seconds",
-        help: "Longest pause between two outputs of a response.",
+        help: "Longest pause between two outputs of an answer.",
         labelNames: ["service"],
         buckets: secondsBuckets,
         registers: [this.registry],
     });
     private readonly duration = new Histogram({
         name: "lynxarch_request_duration_seconds",
-        help: "Time from a request's arrival to the end of its response.",
+        help: "Time from a request's arrival to the end of its answer.",
         labelNames: ["service", "outcome"],
         buckets: secondsBuckets,
         registers: [this.registry],
@@ -117,7 +117,7 @@
                 },
             });
         };
-        addGauge("lynxarch_open_requests", "Requests that have not ended.", statistics => statistics.openRequests);
+        addGauge("lynxarch_open_requests", "Requests without a final answer.", statistics => statistics.openRequests);
         addGauge(
             "lynxarch_configuration_version",
             "Version of the configuration in force; 0 before the first.",
@@ -128,12 +128,12 @@
         );
         addGauge(
             "lynxarch_targets_view_age_seconds",
-            "Age of this router's view of the targets in the platform's store; NaN before the first read.",
+            "Time since which changes of targets in the platform's store may be unknown here; NaN before the first read.",
             ({ targetsViewAgeMs }) => (targetsViewAgeMs === undefined ? Number.NaN : targetsViewAgeMs / msPerSecond),
         );
         new Gauge({
             name: "lynxarch_store_reads",
-            help: "Reads of the platform's records since the start, by kind of records and outcome.",
+            help: "Reads of the platform's records since the start, by whose records and how they ended.",
             labelNames: ["records", "outcome"],
             registers,
             collect(): void {
@@ -142,16 +142,12 @@
                 }
             },
         });
-        addGauge(
-            "lynxarch_held_requests",
-            "Requests that are held because targets crashed while executing them.",
-            statistics => {
-                return statistics.heldRequests;
-            },
-        );
+        addGauge("lynxarch_held_requests", "Requests that are held because targets crashed under them.", statistics => {
+            return statistics.heldRequests;
+        });
         new Gauge({
             name: "lynxarch_shared_connections",
-            help: "Callers' connections since the start: handed over to neighbours, received from them, or declined by them.",
+            help: "Callers' connections since the start: handed over to neighbours, received, or kept as none could be reached.",
             labelNames: ["outcome"],
             registers,
             collect(): void {
@@ -161,37 +157,37 @@
                 this.set({ outcome: "unreached" }, unreached);
             },
         });
-        addGauge(
-            "lynxarch_peers",
-            "Other routers from which a message was received recently.",
-            statistics => statistics.peers,
-        );
+        addGauge("lynxarch_peers", "Other routers with a recent message.", statistics => statistics.peers);
         addGauge("lynxarch_peer_message_bytes", "Size of the newest message to other routers.", statistics => {
             return statistics.peerRound.messageBytes;
         });
-        addGauge("lynxarch_peer_round_seconds", "Period of messages to other routers.", statistics => {
+        addGauge("lynxarch_peer_round_seconds", "Time from one message to other routers to the next.", statistics => {
             return statistics.peerRound.periodMs / msPerSecond;
         });
         addGauge(
             "lynxarch_shed_share",
-            "Fraction of new requests that the router refuses without reading them, 0 to 1.",
+            "Part of new requests that the router refuses unexamined, 0 to 1.",
             statistics => {
                 return statistics.load.shedShare;
             },
         );
         addGauge(
             "lynxarch_loop_utilization",
-            "Fraction of time in which the event loop is busy, smoothed.",
+            "Part of the time in which the event loop is busy, smoothed.",
             statistics => {
                 return statistics.load.loop.utilization;
             },
         );
-        addGauge("lynxarch_loop_delay_seconds", "Delay of event loop timers, smoothed.", statistics => {
-            return statistics.load.loop.delayMs / msPerSecond;
-        });
+        addGauge(
+            "lynxarch_loop_delay_seconds",
+            "By how much timers of the event loop are late, smoothed.",
+            statistics => {
+                return statistics.load.loop.delayMs / msPerSecond;
+            },
+        );
         new Gauge({
             name: "lynxarch_targets",
-            help: "Targets known to this router, by service and state.",
+            help: "Targets that are known, by service and state.",
             labelNames: ["service", "state"],
             registers,
             collect(): void {
