--- a/src/decisions/rollouts/rolloutEvaluator.ts
+++ b/src/decisions/rollouts/rolloutEvaluator.ts
@@ -140,8 +140,8 @@
      * routers, which is a single event.
      */
     private countNewDisconnects(evidence: RolloutEvidence, before: RolloutEvidence | undefined, nowMs: number): number {
-        const counted = evidence.breaks.filter(({ targetHash, breaks }) => {
-            const previousBreaks = before?.breaks.find(other => other.targetHash === targetHash)?.breaks ?? 0;
+        const counted = evidence.disconnects.filter(({ targetHash, disconnects: breaks }) => {
+            const previousBreaks = before?.disconnects.find(other => other.targetHash === targetHash)?.disconnects ?? 0;
             const lastAtMs = this.disconnectCountedAtMs.get(targetHash) ?? Number.NEGATIVE_INFINITY;
             return breaks > previousBreaks && nowMs - lastAtMs >= disconnectWindowMs;
         });
--- a/src/decisions/rollouts/versionEvidence.ts
+++ b/src/decisions/rollouts/versionEvidence.ts
@@ -20,13 +20,13 @@
 /** Disconnects at one target of the candidate version. A target that crashes disconnects all its requests at once. */
 export interface TargetDisconnects {
     readonly targetHash: number;
-    readonly breaks: number;
+    readonly disconnects: number;
 }
 
 /** The counts of one router since it received the roll-out. */
 export interface RolloutEvidence {
     readonly routes: readonly RouteEvidence[];
-    readonly breaks: readonly TargetDisconnects[];
+    readonly disconnects: readonly TargetDisconnects[];
 }
 
 /** Counts before the first observation. */
@@ -81,7 +81,10 @@
     public get evidence(): RolloutEvidence {
         return {
             routes: [...this.routes.values()],
-            breaks: [...this.disconnects].map(([targetHash, breaks]) => ({ targetHash, breaks })),
+            disconnects: [...this.disconnects].map(([targetHash, disconnects]) => ({
+                targetHash,
+                disconnects,
+            })),
         };
     }
 }
--- a/src/decisions/shares/accountShares.ts
+++ b/src/decisions/shares/accountShares.ts
@@ -244,7 +244,7 @@
         const usage = this.own.get(account);
         return {
             asked: usage?.asked.getTotal(nowMs) ?? 0,
-            askedSince: usage?.asked.getRecent(sinceMs, nowMs) ?? 0,
+            requestedSince: usage?.asked.getRecent(sinceMs, nowMs) ?? 0,
             servedSince: usage?.served.getRecent(sinceMs, nowMs) ?? 0,
         };
     }
--- a/src/decisions/shares/peerEstimate.ts
+++ b/src/decisions/shares/peerEstimate.ts
@@ -30,7 +30,7 @@
     /** Requested tokens within the window. */
     readonly asked: number;
     /** Requested tokens within the mean age of the other routers' reports. */
-    readonly askedSince: number;
+    readonly requestedSince: number;
     readonly servedSince: number;
 }
 
@@ -79,7 +79,7 @@
     /** Estimates what the account has requested of the other routers and been served there by now. */
     public estimate(account: string, own: OwnSample): AccountUsage {
         const reported = this.reported.get(account) ?? createReportedUsage();
-        if (own.askedSince <= 0) {
+        if (own.requestedSince <= 0) {
             return {
                 asked: reported.requestedWithin + reported.requestedExpired,
                 served: reported.servedWithin + reported.servedExpired,
@@ -87,9 +87,9 @@
             };
         }
         const requestedHere = this.estimateRequestedHere(own);
-        const excess = Math.max(0, own.askedSince - requestedHere * (this.meanAgeMs / this.windows.windowMs));
+        const excess = Math.max(0, own.requestedSince - requestedHere * (this.meanAgeMs / this.windows.windowMs));
         const requestedSince = reported.requestedExpired + excess * this.computePeerRatio(reported, requestedHere);
-        const servedSince = requestedSince * (own.servedSince / own.askedSince);
+        const servedSince = requestedSince * (own.servedSince / own.requestedSince);
         const recentFraction = Math.min(1, this.windows.recentMs / this.meanAgeMs);
         return {
             asked: reported.requestedWithin + requestedSince,
@@ -120,7 +120,7 @@
      */
     private estimateRequestedHere(own: OwnSample): number {
         const beforeMs = this.windows.windowMs - this.meanAgeMs;
-        return beforeMs > 0 ? ((own.asked - own.askedSince) * this.windows.windowMs) / beforeMs : own.asked;
+        return beforeMs > 0 ? ((own.asked - own.requestedSince) * this.windows.windowMs) / beforeMs : own.asked;
     }
 
     /** Ratio of what the account requests of the other routers to what it requests of this one. */
--- a/src/gateway/flowOutcomes.ts
+++ b/src/gateway/flowOutcomes.ts
@@ -81,7 +81,7 @@
     }
 
     /** Relays an error response of the target. */
-    public sendFailure(failure: StoredResponse): FlowOutcome {
+    public sendErrorResponse(failure: StoredResponse): FlowOutcome {
         if (this.relay.isCommitted) {
             return this.endDisconnected("the stream could not be resumed at another target");
         }
--- a/src/gateway/grants/grantClient.ts
+++ b/src/gateway/grants/grantClient.ts
@@ -172,7 +172,7 @@
     }
 
     private createOutcome(reply: GrantReply, request: Pick<GrantRequest, "targetHash">, ownerId: string): GrantOutcome {
-        if (!reply.isKnown) {
+        if (!reply.isTargetKnown) {
             return { kind: "unanswered" };
         }
         return reply.granted
--- a/src/gateway/grants/grantMessage.ts
+++ b/src/gateway/grants/grantMessage.ts
@@ -45,7 +45,7 @@
     readonly kind: "reply";
     readonly grantId: number;
     /** Whether the owner has a record of the target. Without one it can't decide. */
-    readonly isKnown: boolean;
+    readonly isTargetKnown: boolean;
     readonly granted: boolean;
     /** Prompt tokens that the engine has to prefill for the request. */
     readonly newTokens: number;
@@ -141,7 +141,7 @@
             return [
                 codes.reply,
                 message.grantId,
-                message.isKnown,
+                message.isTargetKnown,
                 message.granted,
                 Math.round(message.newTokens),
                 Math.round(message.queuedTokens),
@@ -228,7 +228,7 @@
     return {
         kind: "reply",
         grantId,
-        isKnown,
+        isTargetKnown: isKnown,
         granted,
         newTokens,
         queuedTokens,
--- a/src/gateway/grants/grantOwner.ts
+++ b/src/gateway/grants/grantOwner.ts
@@ -70,7 +70,7 @@
             recordParts(target, request, newTokens);
         }
         const { maxUsage } = prefill;
-        return { kind: "reply", grantId: request.grantId, isKnown: true, newTokens, maxUsage, ...decision };
+        return { kind: "reply", grantId: request.grantId, isTargetKnown: true, newTokens, maxUsage, ...decision };
     }
 
     /** Applies a progress report. `senderId`: id of the router that holds the grant. */
@@ -112,12 +112,12 @@
 /** A denial that holds until the sender has received from its peers that the target is leaving. */
 function createLeavingReply({ grantId, maxUsage }: GrantRequest): GrantReply {
     const denial = { newTokens: 0, queuedTokens: 0, usage: 1, maxUsage, retryAfterMs: leavingDenialMs };
-    return { kind: "reply", grantId, isKnown: true, granted: false, ...denial };
+    return { kind: "reply", grantId, isTargetKnown: true, granted: false, ...denial };
 }
 
 function createUnknownReply({ grantId }: GrantRequest): GrantReply {
     const zeros = { newTokens: 0, queuedTokens: 0, usage: 0, maxUsage: 0, retryAfterMs: 0 };
-    return { kind: "reply", grantId, isKnown: false, granted: false, ...zeros };
+    return { kind: "reply", grantId, isTargetKnown: false, granted: false, ...zeros };
 }
 
 /** Prompt tokens that the engine has to prefill: those not cached there by earlier requests and not copied from another engine. */
--- a/src/gateway/requestFlow.ts
+++ b/src/gateway/requestFlow.ts
@@ -157,7 +157,7 @@
     /** Counts the request for its first service's retry budget, and its requested tokens for the account. */
     private recordFirstAttempt(service: string | undefined): void {
         if (service !== undefined) {
-            this.retries.recordFirst(service);
+            this.retries.recordFirstAttempt(service);
         }
         this.charge.recordRequested();
     }
@@ -271,7 +271,7 @@
                 this.sent += 1;
                 this.mayHaveBeenExecuted = true;
                 this.lastErrorResponse = outcome.answer;
-                return this.canRepeat() ? undefined : this.outcomes.sendFailure(outcome.answer);
+                return this.canRepeat() ? undefined : this.outcomes.sendErrorResponse(outcome.answer);
             case "broken":
                 this.sent += 1;
                 this.mayHaveBeenExecuted = true;
@@ -320,13 +320,13 @@
     }
 
     private takeRetry(): boolean {
-        return this.watch.canRetry && this.retries.take(this.selection?.service.name ?? "");
+        return this.watch.canRetry && this.retries.takeRetry(this.selection?.service.name ?? "");
     }
 
     /** Ends a request for which no target remains, with the last error response or according to whether it may have been executed. */
     private endWithoutTarget(): FlowOutcome {
         if (this.lastErrorResponse !== undefined) {
-            return this.outcomes.sendFailure(this.lastErrorResponse);
+            return this.outcomes.sendErrorResponse(this.lastErrorResponse);
         }
         if (this.relay.isCommitted || this.mayHaveBeenExecuted) {
             return this.outcomes.endDisconnected("no other target is available");
--- a/src/gateway/requestRetries.ts
+++ b/src/gateway/requestRetries.ts
@@ -16,13 +16,13 @@
     ) {}
 
     /** Counts the first attempt for the service's budget. */
-    public recordFirst(service: string): void {
+    public recordFirstAttempt(service: string): void {
         const { retryBudgets, clock } = this.context;
         retryBudgets.getOrCreate(service).recordFirstAttempt(this.account ?? sharedBudgetKey, clock.nowMs());
     }
 
     /** Takes a retry from the service's budget; false if the budget is exhausted. */
-    public take(service: string): boolean {
+    public takeRetry(service: string): boolean {
         const { retryBudgets, settings, clock } = this.context;
         const ratio = settings.retryBudget.ratio * retryRatioShare;
         return retryBudgets.getOrCreate(service).takeRetry(this.account ?? sharedBudgetKey, ratio, clock.nowMs());
--- a/src/gateway/rollouts/rolloutMessage.ts
+++ b/src/gateway/rollouts/rolloutMessage.ts
@@ -56,7 +56,7 @@
 
 /** Encodes a message as MessagePack (https://msgpack.org). */
 export function encodeRolloutMessage(message: RolloutMessage): Uint8Array {
-    const { routes, breaks } = message.evidence;
+    const { routes, disconnects } = message.evidence;
     const wire: z.input<typeof wireSchema> = [
         messageCode,
         message.incarnation,
@@ -69,7 +69,7 @@
         routes
             .slice(0, maxRoutes)
             .map(({ route, candidate, baseline }) => [route, encodeCounts(candidate), encodeCounts(baseline)]),
-        breaks.slice(0, maxTargets).map(entry => [entry.targetHash, entry.breaks]),
+        disconnects.slice(0, maxTargets).map(entry => [entry.targetHash, entry.disconnects]),
     ];
     return encode(wire);
 }
@@ -86,7 +86,7 @@
     if (!parsed.success) {
         return err(new RolloutMessageError("roll-out report has an unknown structure or version", parsed.error));
     }
-    const [, incarnation, service, version, ageMs, step, baselineRunning, isBad, routes, breaks] = parsed.data;
+    const [, incarnation, service, version, ageMs, step, baselineRunning, isBad, routes, disconnects] = parsed.data;
     return ok({
         incarnation,
         service,
@@ -101,7 +101,7 @@
                 candidate: decodeCounts(candidate),
                 baseline: decodeCounts(baseline),
             })),
-            breaks: breaks.map(([targetHash, targetBreaks]) => ({ targetHash, breaks: targetBreaks })),
+            disconnects: disconnects.map(([targetHash, count]) => ({ targetHash, disconnects: count })),
         },
     });
 }
--- a/test/fakes/usersPlatform/simulatedStore.ts
+++ b/test/fakes/usersPlatform/simulatedStore.ts
@@ -88,7 +88,7 @@
                 const { newest, records, firstOffset } = this.openTopic(topicName);
                 const endOffset = firstOffset + records.length;
                 const entries = [...newest].map(([key, value], offset) => ({ key, value, offset }));
-                return Promise.resolve({ records: entries, endOffset, era: String(this.era) });
+                return Promise.resolve({ records: entries, endOffset, epoch: String(this.era) });
             }),
         );
     }
@@ -138,11 +138,11 @@
             const endOffset = firstOffset + records.length;
             const era = String(this.era);
             if (fromOffset < firstOffset || fromOffset > endOffset) {
-                return { kind: "compacted", era };
+                return { kind: "compacted", epoch: era };
             }
             if (fromOffset < endOffset || waitedMs >= waitMs) {
                 this.answers += 1;
-                return { kind: "records", endOffset, records: records.slice(fromOffset - firstOffset), era };
+                return { kind: "records", endOffset, records: records.slice(fromOffset - firstOffset), epoch: era };
             }
             await sleepOnTimer(pollMs, token);
             if (this.condition === "silent" || this.condition === "stalled") {
--- a/test/gateway/coldTarget.test.ts
+++ b/test/gateway/coldTarget.test.ts
@@ -147,7 +147,7 @@
 
 const reply = {
     kind: "reply",
-    isKnown: true,
+    isTargetKnown: true,
     newTokens: 100,
     queuedTokens: 0,
     usage: 0.1,
--- a/test/gateway/grants/grantClient.test.ts
+++ b/test/gateway/grants/grantClient.test.ts
@@ -89,7 +89,7 @@
 
 const reply = {
     kind: "reply",
-    isKnown: true,
+    isTargetKnown: true,
     granted: true,
     newTokens: 100,
     queuedTokens: 0,
@@ -125,7 +125,7 @@
     it("decides itself while the owner has no record of the target", () => {
         const { client, demand, outcomes } = createFixture();
         client.submit(demand, outcome => outcomes.push(outcome));
-        client.applyReply(ownerId, { ...reply, kind: "reply", grantId: 1, isKnown: false, granted: false });
+        client.applyReply(ownerId, { ...reply, kind: "reply", grantId: 1, isTargetKnown: false, granted: false });
         expect(outcomes.map(outcome => outcome.kind)).toEqual(["unanswered"]);
     });
 });
--- a/test/gateway/grants/grantMessage.property.test.ts
+++ b/test/gateway/grants/grantMessage.property.test.ts
@@ -32,7 +32,7 @@
     fc.record({
         kind: fc.constant("reply" as const),
         grantId: count,
-        isKnown: fc.boolean(),
+        isTargetKnown: fc.boolean(),
         granted: fc.boolean(),
         newTokens: count,
         queuedTokens: count,
--- a/test/gateway/grants/grantOwner.test.ts
+++ b/test/gateway/grants/grantOwner.test.ts
@@ -56,8 +56,13 @@
     const before = owner.check("router-2", request);
     directory.applyLeaving([{ targetHash: hashFast(id), startedAtMs }]);
     const after = owner.check("router-2", { ...request, grantId: 2 });
-    expect([before, after].map(({ granted, isKnown, retryAfterMs }) => ({ granted, isKnown, retryAfterMs })))
-        .toMatchInlineSnapshot(`
+    expect(
+        [before, after].map(({ granted, isTargetKnown: isKnown, retryAfterMs }) => ({
+            granted,
+            isKnown,
+            retryAfterMs,
+        })),
+    ).toMatchInlineSnapshot(`
           [
             {
               "granted": true,
--- a/test/gateway/rollouts/rolloutMessage.property.test.ts
+++ b/test/gateway/rollouts/rolloutMessage.property.test.ts
@@ -20,7 +20,7 @@
     isBad: fc.boolean(),
     evidence: fc.record({
         routes: fc.array(fc.record({ route: name, candidate: counts, baseline: counts }), { maxLength: 10 }),
-        breaks: fc.array(fc.record({ targetHash: fc.nat(0xffffffff), breaks: fc.nat() }), { maxLength: 10 }),
+        disconnects: fc.array(fc.record({ targetHash: fc.nat(0xffffffff), disconnects: fc.nat() }), { maxLength: 10 }),
     }),
 });
 
